--- a/eiderpin/explain.py
+++ b/eiderpin/explain.py
@@ -17,14 +17,14 @@
         "state": seen.state.value,
         "ready": seen.ready,
         "height": height,
-        "ours": seen.ours,
-        "others": d.others(seen),
+        "ours": seen.our_slots,
+        "others": d.slots_of_others(seen),
         "slots": d.slots(seen),
         "slowness": d.slowness(seen),
         "warmth": d.warmth(seen),
-        "failures_in_a_row": seen.failures,
-        "rests_for": max(0.0, seen.rest_until - d.now),
-        "on_trial": seen.trial,
+        "failures_in_a_row": seen.failures_in_a_row,
+        "rests_for": max(0.0, seen.ejected_until - d.now),
+        "on_trial": seen.on_probation,
     }
 
 
@@ -36,9 +36,9 @@
     return {
         "open": True,
         "attempts": job.sends,
-        "out_at": [a.worker.name for a in job.out],
-        "may_have_run_at": [a.worker.name for a in job.risky],
-        "may_send": may_send(job, d.s, d.now),
+        "out_at": [a.worker.name for a in job.open_attempts],
+        "may_have_run_at": [a.worker.name for a in job.possible_runs],
+        "may_send": may_send(job, d.settings, d.now),
         "may_refuse": may_refuse(job),
         "past_latest_start": d.latest_start(job) < d.now,
         "time_left": job.deadline - d.now,
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -68,7 +68,7 @@
     for d in (old, new):
         facts = explain.worker(d, "w1")
         assert (facts["slots"], facts["slowness"]) == (7.0, pytest.approx(3.0))
-        assert d.faulty(d.workers["w1"])
+        assert d.is_faulty(d.workers["w1"])
         assert (d.run_mean, d.slow_mean, d.shapes["std"].misses) == (800.0, 1.5, 3)
     learned.take(new, {"shapes": {"std": (2.0, 0.0, 9.0, 9.0, 1.0)}})
     assert explain.worker(new, "w0")["slots"] == 7.0
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -132,7 +132,7 @@
                 worker, job = d.workers[f"w{seed}"], api.Request(1, "read", 8000.0, hint=RUN)
                 d.handle(1001.0, [])
                 d.on_request(job)
-                while d.cold_allows(worker, d.jobs[1]):
+                while d.fits_cold_budget(worker, d.jobs[1]):
                     worker.cold_spent.append((1001.0, d.cold_cost(worker, d.jobs[1])))
                     sent += 1
             n = allowed(0.0)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -307,7 +307,7 @@
 
     def test_what_cannot_be_in_time_is_turned_down_at_once_with_advice(self) -> None:
         module = self.module()
-        module.s.may_advise_wait, module.s.max_wait_advice = True, 2000.0
+        module.settings.may_advise_wait, module.settings.max_wait_advice = True, 2000.0
         asked: list[api.Event] = [api.Request(1, "look", 900.0, hint=4000.0)]
         got = module.handle(1000.0, asked) + module.handle(1200.0, [])
         (refused,) = [a for a in got if isinstance(a, api.Refuse)]
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from eiderpin import interface as api
-from eiderpin.decide import COLD_MARGIN, PICKY
+from eiderpin.decide import COLD_BUDGET_SHARE, TRUSTED_ONLY_AIM_SHARE
 from tests.conftest import fleet, make_settings, sends
 from tests.test_lifecycle import Play
 
@@ -22,9 +22,9 @@
     """Two hundred workers; attempts of ours succeeded at `served`, and one failed at w1."""
     play = Play(make_settings(instances=200), fleet(200), seed)
     for name in served:
-        play.d.hear_fault(play.d.workers[name], False)
+        play.d.record_result(play.d.workers[name], False)
     if failure:
-        play.d.hear_fault(play.d.workers["w1"], True)
+        play.d.record_result(play.d.workers["w1"], True)
     return play
 
 
@@ -43,32 +43,32 @@
 def test_a_dispatcher_that_meets_each_worker_often_learns_of_it_alone() -> None:
     plays = [trusted_play(seed) for seed in range(30)]
     for play in plays:
-        play.d.ours = 10.0 * len(play.d.workers)
+        play.d.our_slots = 10.0 * len(play.d.workers)
     assert len({sent_one(play, 1, "pay").worker for play in plays} - {"w5", "w9"}) >= 20
 
 
 def test_with_nobody_to_trust_a_single_shot_waits_for_nothing() -> None:
     play = trusted_play(1, served=())
     play.do(api.Request(1, "pay", 4000, hint=50.0))
-    assert len(sends(play.run(3 * play.d.s.tick))) == 1
+    assert len(sends(play.run(3 * play.d.settings.tick))) == 1
 
 
 def test_a_single_shot_that_finds_its_trusted_workers_full_goes_elsewhere_after_a_while() -> None:
     play = trusted_play(1)
     for name in ("w5", "w9"):
-        play.d.observe(play.d.workers[name], 10.0, 0.0)  # full with others' jobs
+        play.d.note_others(play.d.workers[name], 10.0, 0.0)  # full with others' jobs
     play.do(api.Request(1, "pay", 4000, hint=50.0))
     aim = play.d.classes["pay"].aim
-    assert sends(play.run(PICKY * aim - 10)) == []
-    (sent,) = sends(play.run(5 * play.d.gather))  # the next round, once those that placed nothing grew rare
+    assert sends(play.run(TRUSTED_ONLY_AIM_SHARE * aim - 10)) == []
+    (sent,) = sends(play.run(5 * play.d.round_ms))  # the next round, once those that placed nothing grew rare
     assert sent.worker not in ("w5", "w9", "w1")
 
 
 def test_a_worker_that_fails_is_trusted_no_more() -> None:
     play = trusted_play(1)
-    play.d.hear_fault(play.d.workers["w5"], True)
+    play.d.record_result(play.d.workers["w5"], True)
     where = {sent_one(trusted_play(seed), 1, "pay").worker for seed in range(5)}
-    assert "w5" in {w.name for w in play.d.everyone.items} and "w5" not in play.d.trusted.place
+    assert "w5" in {w.name for w in play.d.whole_pool.items} and "w5" not in play.d.trusted_pool.positions
     assert where <= {"w5", "w9"}
     again = {sent_one(p, 1, "pay").worker for p in [play]}
     assert again == {"w9"}
@@ -87,7 +87,7 @@
 
 
 def holders(plays: list[Play], name: str) -> int:
-    return sum(p.d.cold_part(p.d.workers[name], 400.0) > 0 for p in plays)
+    return sum(p.d.cold_budget(p.d.workers[name], 400.0) > 0 for p in plays)
 
 
 def test_dispatchers_with_few_jobs_share_a_cold_workers_budget_more_widely() -> None:
@@ -95,13 +95,13 @@
     between them, most of it would stand idle."""
     few, many = cold_fleet(open_jobs=1), cold_fleet(open_jobs=200)
     for name in ("w0", "w7", "w23"):
-        d, s = many[0].d, many[0].d.s
-        part = max(p.d.cold_part(p.d.workers[name], 400.0) for p in many)
+        d, s = many[0].d, many[0].d.settings
+        part = max(p.d.cold_budget(p.d.workers[name], 400.0) for p in many)
         capacity = d.warmth(d.workers[name]) * d.slots(d.workers[name])
-        whole = COLD_MARGIN * s.cold_multiple * capacity * s.cold_window
+        whole = COLD_BUDGET_SHARE * s.cold_multiple * capacity * s.cold_window
         assert holders(many, name) * part <= whole + 1e-6
         # Used all at once, they are over the whole by no more than half of what is put down to chance.
-        n = whole / COLD_MARGIN / 400.0
+        n = whole / COLD_BUDGET_SHARE / 400.0
         assert holders(few, name) * part / 400.0 <= n + n**0.5 + 1
         assert holders(few, name) >= 2 * holders(many, name)
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -32,7 +32,7 @@
         while self.timers and min(self.timers)[0] <= until:
             at, handle = min(self.timers)
             self.timers.remove((at, handle))
-            self.now = max(self.now + self.d.s.tick, at)
+            self.now = max(self.now + self.d.settings.tick, at)
             got += self.do(api.TimerFired(handle))
         self.now = max(self.now, until)
         return got
@@ -161,16 +161,16 @@
     for cls, there in (("pay", False), ("read", True)):
         play = Play(settings, fleet(8))
         worker = play.d.workers["w3"]
-        play.d.hear_fault(worker, True)
-        assert not play.d.faulty(worker)  # once is chance
-        play.d.hear_fault(worker, True)
+        play.d.record_result(worker, True)
+        assert not play.d.is_faulty(worker)  # once is chance
+        play.d.record_result(worker, True)
         got = [a for n in range(25) for a in play.do(api.Request(n, cls, 4000, hint=1.0)) + play.run(40)]
         sent = {a.worker for a in sends(got)}
         assert (worker.name in sent) is there, cls
         assert len(sent) >= 6
         for _ in range(8):
-            play.d.hear_fault(worker, False)
-        assert not play.d.faulty(worker)
+            play.d.record_result(worker, False)
+        assert not play.d.is_faulty(worker)
         for name in ("w1", "w1", "w2", "w2", "w3", "w3"):  # over a quarter of them: it is not the workers
-            play.d.hear_fault(play.d.workers[name], True)
-        assert not play.d.faulty(worker)
+            play.d.record_result(play.d.workers[name], True)
+        assert not play.d.is_faulty(worker)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from eiderpin.decide import D_PER_JOB, K, Worker, draw, draw_count, fill
+from eiderpin.decide import DRAWS_PER_JOB, JOBS_PER_ROUND, Worker, draw, draw_count, pick_places
 from eiderpin.decide import Shape as WorkerShape
 from eiderpin.interface import Request
 from tests.conftest import entry, fleet, listed, make_settings, sends
@@ -30,7 +30,7 @@
     workers = bins(balls)
     load = {name: (n + 1.0, 1.0) for name, n in balls.items()}
     for seed in range(20):
-        places = fill(random.Random(seed), [workers[s] for s in sampled], load, 3)
+        places = pick_places(random.Random(seed), [workers[s] for s in sampled], load, 3)
         got = Counter(w.name for _, _, w in places)
         assert got == expected
         assert all(got[name] <= sampled.count(name) for name in got)
@@ -41,13 +41,13 @@
     for _ in range(300):
         balls = {f"b{i}": rng.randrange(6) for i in range(8)}
         workers = bins(balls)
-        drawn = draw(rng, list(workers.values()), 2 * K)
-        places = fill(rng, drawn, {n: (b + 1.0, 1.0) for n, b in balls.items()}, K)
+        drawn = draw(rng, list(workers.values()), 2 * JOBS_PER_ROUND)
+        places = pick_places(rng, drawn, {n: (b + 1.0, 1.0) for n, b in balls.items()}, JOBS_PER_ROUND)
         heights = []
         times = Counter(w.name for w in drawn)
         for name, m in times.items():
             heights += [balls[name] + 1 + i for i in range(m)]
-        assert [h for h, _, _ in places] == sorted(heights)[:K]
+        assert [h for h, _, _ in places] == sorted(heights)[:JOBS_PER_ROUND]
         assert all(n <= times[name] for name, n in Counter(w.name for _, _, w in places).items())
 
 
@@ -55,7 +55,7 @@
     workers = bins({"a": 0, "b": 0})
     load = {"a": (1.0, 1.0), "b": (1.0, 1.0)}
     rng = random.Random(1)
-    first = Counter(fill(rng, list(workers.values()), load, 1)[0][2].name for _ in range(2000))
+    first = Counter(pick_places(rng, list(workers.values()), load, 1)[0][2].name for _ in range(2000))
     assert 900 < first["a"] < 1100
 
 
@@ -76,9 +76,11 @@
 
 
 def test_short_rounds_draw_in_proportion_and_one_more_at_least() -> None:
-    assert draw_count(K) == D_PER_JOB * K
-    assert all(draw_count(j) >= j + 1 for j in range(1, K + 1))
-    assert [draw_count(j) for j in range(1, K + 1)] == [max(2 * j, j + 1) for j in range(1, K + 1)]
+    assert draw_count(JOBS_PER_ROUND) == DRAWS_PER_JOB * JOBS_PER_ROUND
+    assert all(draw_count(j) >= j + 1 for j in range(1, JOBS_PER_ROUND + 1))
+    assert [draw_count(j) for j in range(1, JOBS_PER_ROUND + 1)] == [
+        max(2 * j, j + 1) for j in range(1, JOBS_PER_ROUND + 1)
+    ]
 
 
 def test_a_round_closes_when_it_is_full_or_when_the_tick_ends() -> None:
@@ -87,7 +89,7 @@
     d = Dispatcher(make_settings(), 1)
     d.handle(1000.0, [listed(fleet(12))])
     assert not sends(d.handle(1005.0, [Request(1, "read", 4000)]))
-    full = [Request(i, "read", 4000) for i in range(2, 1 + K)]
-    assert len(sends(d.handle(1006.0, full))) == K
+    full = [Request(i, "read", 4000) for i in range(2, 1 + JOBS_PER_ROUND)]
+    assert len(sends(d.handle(1006.0, full))) == JOBS_PER_ROUND
     assert not sends(d.handle(1010.0, [Request(99, "pay", 4000)]))
-    assert len(sends(d.handle(1010.0 + d.gather, [Request(100, "pay", 4000)]))) == 2
+    assert len(sends(d.handle(1010.0 + d.round_ms, [Request(100, "pay", 4000)]))) == 2
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -7,7 +7,15 @@
 import pytest
 
 from eiderpin import interface as api
-from eiderpin.decide import CLASS_LEAST, SILENT, START_LATE, WAITING, WAITING_LEAST, WAITING_SHARE, Dispatcher
+from eiderpin.decide import (
+    LATE_START_MS,
+    MIN_EARNINGS_SHARE,
+    MIN_START_TIMEOUT_MS,
+    MIN_UNSTARTED,
+    UNSTARTED_PER_WORKER,
+    UNSTARTED_RUNNING_SHARE,
+    Dispatcher,
+)
 from tests.conftest import fleet, listed, make_settings, sends
 
 
@@ -44,7 +52,7 @@
 def test_no_more_wait_than_are_our_part(instances: int, workers: int) -> None:
     """In each zone; each that starts lets one more go there, and no burst follows."""
     d = told(instances, workers)
-    most = max(WAITING_LEAST, int(WAITING * workers / instances))
+    most = max(MIN_UNSTARTED, int(UNSTARTED_PER_WORKER * workers / instances))
     out = flood(d, 500) + turns(d, 1010.0, 40.0)
     assert Counter(zone(d, s) for s in out) == {"a": most, "b": most}
     begun = [s for s in out if zone(d, s) == "a"][:2]
@@ -58,17 +66,17 @@
     while running <= 40:
         now += 20.0
         d.handle(now, [api.Progress(s.request, 0, s.worker, True) for s in out])
-        running = sum(a.started >= 0 for a in d.attempts.values())
-        waits = Counter(a.worker.zone for a in d.attempts.values() if a.started < 0)
-        assert waits["a"] <= max(WAITING_LEAST, WAITING_SHARE * running)
-        out = [api.Send(a.job.id, a.worker.name) for a in d.attempts.values() if a.started < 0]
-    assert waits["a"] > WAITING_LEAST
+        running = sum(a.started_at >= 0 for a in d.attempts.values())
+        waits = Counter(a.worker.zone for a in d.attempts.values() if a.started_at < 0)
+        assert waits["a"] <= max(MIN_UNSTARTED, UNSTARTED_RUNNING_SHARE * running)
+        out = [api.Send(a.job.id, a.worker.name) for a in d.attempts.values() if a.started_at < 0]
+    assert waits["a"] > MIN_UNSTARTED
 
 
 def test_what_has_been_silent_for_long_holds_nobody_back() -> None:
     d = told(50, 50)
-    assert len(flood(d, 10) + turns(d, 1010.0, SILENT - 20)) == 2 * WAITING_LEAST
-    assert turns(d, 1010.0 + SILENT + 20, 100.0)
+    assert len(flood(d, 10) + turns(d, 1010.0, MIN_START_TIMEOUT_MS - 20)) == 2 * MIN_UNSTARTED
+    assert turns(d, 1010.0 + MIN_START_TIMEOUT_MS + 20, 100.0)
 
 
 def test_where_starts_are_not_told_nothing_is_held_back_for_them() -> None:
@@ -85,7 +93,7 @@
     turns(d, 1010.0, 100.0)
     given_up = [a for a in d.handle(3700.0, [api.TimerFired(d.timer_handle)]) if isinstance(a, api.Refuse)]
     assert given_up
-    assert not d.gathering or len(d.jobs) <= 30 - len(given_up)
+    assert not d.round_queues or len(d.jobs) <= 30 - len(given_up)
 
 
 def test_reports_do_not_tell_slots_where_starts_do() -> None:
@@ -133,7 +141,7 @@
     d.handle(1000.0, [listed(fleet(8))])
     at = serve(d, "pay", 1001.0, True)
     serve(d, "read", at, *[True] * 8, outcome=api.Outcome.ERROR)
-    assert d.fares == {"pay": 1.0}
+    assert d.class_earnings == {"pay": 1.0}
 
 
 @pytest.mark.parametrize(("failed", "first"), [(0, "pay"), (2, "pay"), (8, "read")])
@@ -145,33 +153,33 @@
     d.handle(1000.0, [listed(fleet(8))])
     at = serve(d, "pay", 1001.0, *[True] * 10)
     at = serve(d, "read", at, *[True] * (8 - failed), *[False] * failed)
-    assert (d.fares["read"] < CLASS_LEAST * d.fares["pay"]) is (first == "read")
+    assert (d.class_earnings["read"] < MIN_EARNINGS_SHARE * d.class_earnings["pay"]) is (first == "read")
     d.handle(at, [listed([])])
     asked = ("read", "pay", "read", "pay")
     held = [api.Request(i, cls, 4000.0, hint=50.0) for i, cls in enumerate(asked)]
     assert not sends(d.handle(at + 1, held))
-    (gathering,) = d.gathering.values()
-    left = [j.spec.name for j in d.next_jobs(gathering)]
+    (round_queues,) = d.round_queues.values()
+    left = [j.spec.name for j in d.pop_jobs(round_queues)]
     assert left[:2] == [first] * 2 and sorted(left) == sorted(asked)
 
 
-@pytest.mark.parametrize("late", [20.0, 4 * START_LATE])
+@pytest.mark.parametrize("late", [20.0, 4 * LATE_START_MS])
 @pytest.mark.parametrize("beside", ["nothing", "one that runs", "one that waits"])
 def test_a_job_that_is_late_waits_for_room_to_show(late: float, beside: str) -> None:
     """It goes out while starts come at once and nothing of ours waits, or with nothing of ours out at all."""
     d = told(50, 50)
     d.handle(1000.0, [listed(fleet(50)[::2])])  # of one zone
-    read = d.s.classes[0]
+    read = d.settings.classes[0]
     read.aim, read.aim_stretch, read.late_worth = 300.0, 0.0, 0.5
     if beside != "nothing":
         (one,) = flood(d, 1) + turns(d, 1010.0, 40.0)
         started = [api.Progress(one.request, 0, one.worker, True)] if beside == "one that runs" else []
         d.handle(1060.0, started)
     for _ in range(40):
-        d.hear_start(late)
+        d.record_start_delay(late)
     too_late = api.Request(900, "read", 4000.0, hint=1000.0)
     got = sends(d.handle(1150.0, [too_late])) + turns(d, 1160.0, 60.0)
-    assert bool(got) is (beside == "nothing" or (late < START_LATE and beside == "one that runs"))
+    assert bool(got) is (beside == "nothing" or (late < LATE_START_MS and beside == "one that runs"))
     in_time = api.Request(901, "read", 4000.0, hint=50.0)
     assert sends(d.handle(1230.0, [in_time])) + turns(d, 1240.0, 60.0)  # which is held back by none of it
 
@@ -181,11 +189,11 @@
     long as others keep coming hardly at all. What has waited for long is such a sign."""
     d = told(1, 8)
     d.handle(1000.0, [listed(fleet(8)[::2])])  # of one zone
-    read = d.s.classes[0]
+    read = d.settings.classes[0]
     read.aim, read.aim_stretch, read.late_worth = 300.0, 0.0, 0.5
     for _ in range(40):
-        d.hear_start(20.0)
+        d.record_start_delay(20.0)
     late = [api.Request(n, "read", 4000.0, hint=1000.0) for n in range(4)]
     assert len(sends(d.handle(1010.0, late)) + turns(d, 1020.0, 60.0)) == len(late)
     one_more = api.Request(99, "read", 4000.0, hint=1000.0)
-    assert not sends(d.handle(1010.0 + START_LATE + 80.0, [one_more])) + turns(d, 1200.0, 60.0)
+    assert not sends(d.handle(1010.0 + LATE_START_MS + 80.0, [one_more])) + turns(d, 1200.0, 60.0)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,14 @@
 
 from eiderpin import explain, wire
 from eiderpin import interface as api
-from eiderpin.decide import QUEUED, REPORT_EVERY, SILENT, STARTS, TRIAL, Dispatcher
+from eiderpin.decide import (
+    MIN_START_TIMEOUT_MS,
+    PROBATION_MS,
+    PROBE_INTERVAL_MS,
+    QUEUED_MS,
+    START_TIMEOUT_FACTOR,
+    Dispatcher,
+)
 from tests.conftest import entry, finals, sends
 from tests.test_lifecycle import Play
 
@@ -52,7 +59,7 @@
 
 def placed_at(play: Play, number: int) -> str:
     """Where a job's attempt is out."""
-    return play.d.jobs[number].out[0].worker.name
+    return play.d.jobs[number].open_attempts[0].worker.name
 
 
 def settle(play: Play, number: int, cls: str, ms: float = 60.0, **more: Any) -> dict[int, str]:
@@ -105,8 +112,8 @@
         started(play, now)
         got |= now
     assert len(got) >= 36 and {w[0] for w in got.values()} == {"b"}
-    waiting = [play.d.jobs[n] for n in range(1, 41) if not play.d.jobs[n].out]
-    assert not any(job.home for job in waiting) and not play.d.leaving
+    waiting = [play.d.jobs[n] for n in range(1, 41) if not play.d.jobs[n].open_attempts]
+    assert not any(job.home_zone_only for job in waiting) and not play.d.zone_departures
 
 
 def test_a_job_that_comes_back_after_it_left_its_zone_is_placed_once() -> None:
@@ -197,15 +204,17 @@
 def test_a_keyed_job_of_which_a_mute_worker_tells_nothing_is_repeated_in_its_zone() -> None:
     play = site()
     (worker,) = placed(ask(play, 1, "book")).values()
-    assert api.Cancel(1, 0) in play.run(SILENT + 20)
-    got = play.do(api.AttemptEnded(1, 0, worker, api.Outcome.CANCELLED, SILENT, False)) + play.run(100)
+    assert api.Cancel(1, 0) in play.run(MIN_START_TIMEOUT_MS + 20)
+    got = play.do(
+        api.AttemptEnded(1, 0, worker, api.Outcome.CANCELLED, MIN_START_TIMEOUT_MS, False)
+    ) + play.run(100)
     assert placed(got)[1] == next(w for w in ("a0", "a1") if w != worker)
 
 
 def test_a_worker_where_ours_waits_is_full_and_open_again_once_it_has_started() -> None:
     play = site("a")
     (worker,) = placed(ask(play, 1, "book")).values()
-    play.run(QUEUED)
+    play.run(QUEUED_MS)
     assert not placed(ask(play, 2, "find", 60.0))
     started(play, {1: worker})
     assert 2 in placed(play.run(100))
@@ -215,9 +224,9 @@
     """A post that was lost on its way must not keep its only worker out until the client gives up."""
     play = site("a", {"may_cancel": False})
     ask(play, 1, "book")
-    play.run(SILENT)
+    play.run(MIN_START_TIMEOUT_MS)
     assert explain.worker(play.d, "a0")["rests_for"] > 0
-    assert 2 in placed(ask(play, 2, "find", 3 * TRIAL))
+    assert 2 in placed(ask(play, 2, "find", 3 * PROBATION_MS))
 
 
 def test_a_job_overtaken_by_larger_ones_is_lost_but_not_one_that_may_not_have_fitted() -> None:
@@ -225,9 +234,9 @@
         play = site("a", {"may_cancel": False})
         ask(play, 1, "book", slots=slots)
         ask(play, 2, "find")
-        play.run(SILENT)
+        play.run(MIN_START_TIMEOUT_MS)
         play.do(api.Progress(2, 0, "a0", True))  # told late: it says nothing of a job sent just before
-        play.do(api.AttemptEnded(2, 0, "a0", api.Outcome.DONE, SILENT, True))
+        play.do(api.AttemptEnded(2, 0, "a0", api.Outcome.DONE, MIN_START_TIMEOUT_MS, True))
         assert not play.d.attempts[1, 0].lost
         ask(play, 3, "book", 2000.0)
         assert placed_at(play, 3) == "a0"
@@ -264,7 +273,7 @@
     ask(play, 500, "find", tenant="small")
     for number, worker in running.items():
         play.do(api.Progress(number, 0, worker, True))
-    over = {n for n in range(100) if play.d.jobs[n].scale < 1.0}
+    over = {n for n in range(100) if play.d.jobs[n].worth_scale < 1.0}
     within = set(range(100)) - over - set(running)
     assert len(over) == 80 and within
     served: list[int] = []
@@ -282,10 +291,15 @@
 def test_a_share_is_given_back_at_once_and_a_tenant_without_one_is_never_beyond_it() -> None:
     play = site("aa", SHARES)
     flood(play, "big", 100, 0)
-    assert play.d.share_scale("big") == 0.1
-    assert play.d.share_scale("small") == play.d.share_scale("nobody") == play.d.share_scale(None) == 1.0
+    assert play.d.tenant_worth_scale("big") == 0.1
+    assert (
+        play.d.tenant_worth_scale("small")
+        == play.d.tenant_worth_scale("nobody")
+        == play.d.tenant_worth_scale(None)
+        == 1.0
+    )
     play.run(1000)
-    assert [play.d.share_scale("big") for _ in range(25)].count(1.0) == 20
+    assert [play.d.tenant_worth_scale("big") for _ in range(25)].count(1.0) == 20
 
 
 # ---- reports -------------------------------------------------------------------------------------------
@@ -305,7 +319,7 @@
         started(play, placed(actions))
         asked += probes(actions)
     assert asked == ["a0"]
-    play.run(REPORT_EVERY)
+    play.run(PROBE_INTERVAL_MS)
     assert probes(ask(play, 9, "find")) == ["a0"]
     assert not probes(ask(site("a"), 1, "find"))  # where no report comes, none is asked for
 
@@ -335,7 +349,7 @@
 def test_an_answered_probe_shows_that_a_busy_worker_lives() -> None:
     play = site("a", PROBED)
     placed(ask(play, 1, "find"))
-    play.run(SILENT - 100)
+    play.run(MIN_START_TIMEOUT_MS - 100)
     play.do(api.ProbeEnded("a0", True, 5.0, api.Report(free_slots=0.0, queued=4.0)))
     assert not [a for a in play.run(200) if isinstance(a, api.Cancel)]
     assert explain.worker(play.d, "a0")["rests_for"] == 0.0
@@ -344,23 +358,25 @@
 def mute(play: Play) -> list[api.Action]:
     """One job whose start is not told for a little longer than the least silence."""
     ask(play, 900, "find", 40.0)
-    return [a for a in play.run(SILENT + 40.0) if isinstance(a, api.Cancel)]
+    return [a for a in play.run(MIN_START_TIMEOUT_MS + 40.0) if isinstance(a, api.Cancel)]
 
 
 def test_an_attempt_is_lost_after_far_longer_than_starts_take_here() -> None:
     assert mute(site("aaaa"))  # starts come at once: one that is not told in 600 ms never will be
     play = site("aaaa")
     for _ in range(100):
-        play.d.hear_start(400.0)  # queues are long: it waits its turn, and elsewhere it would wait again
+        play.d.record_start_delay(
+            400.0
+        )  # queues are long: it waits its turn, and elsewhere it would wait again
     assert not mute(play)
-    assert [a for a in play.run(STARTS * 450.0) if isinstance(a, api.Cancel)]
+    assert [a for a in play.run(START_TIMEOUT_FACTOR * 450.0) if isinstance(a, api.Cancel)]
 
 
 def test_a_fifth_of_the_workers_gone_silent_hardly_moves_what_starts_take() -> None:
     play = site("aaaa")
     for n in range(2000):
-        play.d.hear_start(math.inf if n % 5 == 0 else 20.0 + n % 7)
-    assert play.d.silence() == SILENT
+        play.d.record_start_delay(math.inf if n % 5 == 0 else 20.0 + n % 7)
+    assert play.d.start_timeout() == MIN_START_TIMEOUT_MS
 
 
 def test_the_wire_says_in_which_order_workers_start_their_jobs() -> None:
@@ -378,11 +394,11 @@
         play = site("aabb")
         play.do(api.Request(1, "book", 7500, hint=400.0), api.Request(2, "book", 7500, hint=400.0))
         at = {1: play.d.workers["a0"], 2: play.d.workers["b2"]}
-        out = [play.d.commit(play.d.jobs[n], 0, worker, play.now) for n, worker in at.items()]
+        out = [play.d.open_attempt(play.d.jobs[n], 0, worker, play.now) for n, worker in at.items()]
         play.now += elsewhere
         play.do(api.Progress(2, 0, "b2", True))
-        play.now = out[0].sent + 2000.0
+        play.now = out[0].sent_at + 2000.0
         play.do(api.Progress(1, 0, "a0", True))
-        play.d.starts = [late * 20 for late in play.d.starts]  # as after many such
+        play.d.start_delay_ms = [late * 20 for late in play.d.start_delay_ms]  # as after many such
         ask(play, 3, "book", 12.0, expires_in=7500.0)
-        assert play.d.jobs[3].home is not leaves, elsewhere
+        assert play.d.jobs[3].home_zone_only is not leaves, elsewhere
