--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -421,10 +421,10 @@
 
     def on_membership(self, event: api.Membership) -> None:
         if event.by_discovery:
-            self.list_watch.take(event, self.now)
+            self.list_watch.record_list(event, self.now)
         if event.kind is api.ListKind.FAILED:
             return
-        stored_only = event.kind is api.ListKind.STORED and self.list_watch.holds(self.now)
+        stored_only = event.kind is api.ListKind.STORED and self.list_watch.holds_stored_list(self.now)
         for entry in event.entries:
             self.update_worker(entry, stored_only)
         if event.kind is not api.ListKind.CHANGES:
@@ -537,9 +537,9 @@
 
     def update_list_watch(self) -> None:
         """Ask for the list when that is due, and start to use a stored one once that is allowed."""
-        if self.list_watch.asks(self.now):
+        if self.list_watch.begin_call_if_due(self.now):
             self.actions.append(api.Watch(True))
-        if self.unconfirmed and not self.list_watch.holds(self.now):
+        if self.unconfirmed and not self.list_watch.holds_stored_list(self.now):
             confirmed, self.unconfirmed = self.unconfirmed, []
             for worker in confirmed:
                 worker.confirmed = True
--- a/eiderpin/explain.py
+++ b/eiderpin/explain.py
@@ -1,4 +1,4 @@
-"""Why the decisions are as they are, for on-call staff and for who embeds them. It decides nothing."""
+"""Explains the present state of the decisions to operators and to embedding programs; it changes nothing."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 from eiderpin.decide import Dispatcher, may_refuse, may_send
 
 
-def worker(d: Dispatcher, name: str) -> api.Facts:
-    """Why a worker ranks as it does now."""
-    seen = d.workers.get(name)
+def worker(dispatcher: Dispatcher, name: str) -> api.Facts:
+    """Return what determines a worker's rank now. Times are in ms; `height` is its load with one more job."""
+    seen = dispatcher.workers.get(name)
     if seen is None:
         return {"known": False}
-    height, _ = d.load(seen, 1.0)
+    load, _ = dispatcher.load(seen, 1.0)
     return {
         "known": True,
         "state": seen.state.value,
         "ready": seen.ready,
-        "height": height,
+        "height": load,
         "ours": seen.our_slots,
-        "others": d.slots_of_others(seen),
-        "slots": d.slots(seen),
-        "slowness": d.slowness(seen),
-        "warmth": d.warmth(seen),
+        "others": dispatcher.slots_of_others(seen),
+        "slots": dispatcher.slots(seen),
+        "slowness": dispatcher.slowness(seen),
+        "warmth": dispatcher.warmth(seen),
         "failures_in_a_row": seen.failures_in_a_row,
-        "rests_for": max(0.0, seen.ejected_until - d.now),
+        "rests_for": max(0.0, seen.ejected_until - dispatcher.now),
         "on_trial": seen.on_probation,
     }
 
 
-def request(d: Dispatcher, number: int) -> api.Facts:
-    """Where an open request stands, and what may still be done with it."""
-    job = d.jobs.get(number)
+def request(dispatcher: Dispatcher, number: int) -> api.Facts:
+    """Return the state of an open request and what may still be done with it. Times are in ms."""
+    job = dispatcher.jobs.get(number)
     if job is None:
         return {"open": False}
     return {
@@ -38,8 +38,8 @@
         "attempts": job.sends,
         "out_at": [a.worker.name for a in job.open_attempts],
         "may_have_run_at": [a.worker.name for a in job.possible_runs],
-        "may_send": may_send(job, d.settings, d.now),
+        "may_send": may_send(job, dispatcher.settings, dispatcher.now),
         "may_refuse": may_refuse(job),
-        "past_latest_start": d.latest_start(job) < d.now,
-        "time_left": job.deadline - d.now,
+        "past_latest_start": dispatcher.latest_start(job) < dispatcher.now,
+        "time_left": job.deadline - dispatcher.now,
     }
--- a/eiderpin/policy/__init__.py
+++ b/eiderpin/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions in modules by concern: pure, with events and a time in, and actions out."""
+"""Parts of the decision logic by concern. They do no I/O: events and a time go in, actions come out."""
--- a/eiderpin/policy/list_watch.py
+++ b/eiderpin/policy/list_watch.py
@@ -1,4 +1,4 @@
-"""When a dispatcher asks discovery for the list of workers, and whether a stored list may be used yet."""
+"""When to ask discovery for the list of workers, and whether a stored list may be used yet."""
 
 from __future__ import annotations
 
@@ -7,89 +7,96 @@
 
 from eiderpin import interface as api
 
-ASK_AGAIN = 4500.0  # ms from a call for the list that failed to the next: after 6 s all counts as told
-FIRST_CALLS = 0.15  # share of `ask_within` over which the first calls of a fleet are spread ...
-FIRST_CALL_EVERY = 50.0  # ms; ... at most so far apart: one that starts alone need not wait for others
-FIRST_BACKOFF = (
-    0.05  # share of `ask_within` for the first wait after a failure; doubles with each in a row ...
+# Limit of the time from the start of a failed call to the next call: a change counts as delivered to every
+# dispatcher 6 s after it was made.
+MAX_CALL_INTERVAL_MS = 4500.0
+FIRST_CALLS_SHARE = 0.15  # share of `ask_within` over which a fleet's first calls are spread
+MAX_FIRST_CALL_GAP_MS = (
+    50.0  # between two first calls; an instance that starts alone need not wait for others
 )
-MOST_BACKOFF = 0.5  # ... up to this share
-SERVICE_ANSWERS = (
-    300.0  # ms in which a list service answers a first call, unless it is down or overloaded ...
-)
-AGENT_ANSWERS = 700.0  # ... and an agent on our machine, which is silent only while discovery is down
+FIRST_BACKOFF_SHARE = 0.05  # of `ask_within`, after a first failure; doubles with each failure in a row
+MAX_BACKOFF_SHARE = 0.5  # of `ask_within`
+SERVICE_ANSWER_MS = 300.0  # a list service answers a first call within this time unless down or overloaded
+AGENT_ANSWER_MS = 700.0  # the same for an agent on this host, which is silent only while discovery is down
 
 
 class ListWatch:
-    """Keeps one watch on the list where it has to be asked for, and says when a stored list may be used.
+    """Keeps one watch on the worker list where it has to be asked for, and holds back a stored list.
 
-    A process begins with the list that its last one had. What has changed since then counts as told from its
-    first moment, so nothing is sent by that list until discovery has answered. Where the first call fails, or
-    is not answered in time, discovery cannot be reached: then the stored list is used, which is better than
-    none.
+    A process begins with the list that the previous process stored. What has changed since then counts as
+    delivered from its first moment, so nothing is sent by that list until discovery has answered. Where the
+    first call fails or is not answered in time, discovery cannot be reached. The stored list is then used,
+    as it is better than none. All times are in ms.
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self._settings = settings
         self._rng = rng
-        self._asked_at = -math.inf  # when the call began that is not answered yet
-        self._ask_at = math.inf
-        self._backoff = 0.0
+        self._call_began_at = -math.inf  # of the call that is not answered yet
+        self._next_call_at = math.inf
+        self._backoff_ms = 0.0
         self._held_until = -math.inf
 
     def start(self, now: float) -> None:
-        """Begin; instances that start together would overrun the one list service, so they ask in turn."""
+        """Schedule the first call. Instances that start together take turns, or they would overload the one
+        list service."""
         settings = self._settings
         if settings.must_ask:
-            spread = min(FIRST_CALLS * settings.ask_within, FIRST_CALL_EVERY * settings.instances)
-            self._ask_at = now + spread * (settings.instance + self._rng.random()) / settings.instances
+            spread = min(FIRST_CALLS_SHARE * settings.ask_within, MAX_FIRST_CALL_GAP_MS * settings.instances)
+            self._next_call_at = now + spread * (settings.instance + self._rng.random()) / settings.instances
 
-    def take(self, event: api.Membership, now: float) -> None:
-        """A list of discovery has come, or a call to it has failed."""
+    def record_list(self, event: api.Membership, now: float) -> None:
+        """Record that a list has come from discovery, or that a call for it has failed."""
         if event.kind is api.ListKind.STORED:
-            self._hold(event, now)
+            self._hold_stored_list(event, now)
             return
         self._held_until = -math.inf
         if not self._settings.must_ask:
             return
         if event.kind is api.ListKind.FAILED:
-            self._wait_after_failure(now)
+            self._schedule_retry(now)
         else:
-            self._ask_at, self._backoff = math.inf, 0.0
-        self._asked_at = -math.inf
+            self._next_call_at, self._backoff_ms = math.inf, 0.0
+        self._call_began_at = -math.inf
 
-    def _hold(self, event: api.Membership, now: float) -> None:
+    def _hold_stored_list(self, event: api.Membership, now: float) -> None:
         if event.is_being_asked:
-            self._held_until = now + AGENT_ANSWERS
+            self._held_until = now + AGENT_ANSWER_MS
         elif self._settings.must_ask:
-            self._held_until = math.inf  # until the first call has begun
+            self._held_until = math.inf  # `begin_call_if_due` sets the limit
 
-    def _wait_after_failure(self, now: float) -> None:
-        most = self._settings.ask_within
-        wait = max(self._backoff, FIRST_BACKOFF * most)
-        self._backoff = min(2 * wait, MOST_BACKOFF * most)
-        lasted = min(max(now - self._asked_at, 0.0), ASK_AGAIN / 2) if self._asked_at > 0 else 0.0
-        self._ask_at = now + min(wait, (ASK_AGAIN - lasted) / 1.5) * (0.5 + self._rng.random())
+    def _schedule_retry(self, now: float) -> None:
+        ask_within = self._settings.ask_within
+        wait = max(self._backoff_ms, FIRST_BACKOFF_SHARE * ask_within)
+        self._backoff_ms = min(2 * wait, MAX_BACKOFF_SHARE * ask_within)
+        lasted = (
+            min(max(now - self._call_began_at, 0.0), MAX_CALL_INTERVAL_MS / 2)
+            if self._call_began_at > 0
+            else 0.0
+        )
+        self._next_call_at = now + min(wait, (MAX_CALL_INTERVAL_MS - lasted) / 1.5) * (
+            0.5 + self._rng.random()
+        )
 
-    def asks(self, now: float) -> bool:
-        """Whether a call is to begin now."""
-        if self._asked_at > -math.inf and now - self._asked_at > self._settings.ask_within:
-            self._asked_at, self._ask_at = -math.inf, now  # the answer never came
-        if now < self._ask_at or self._asked_at > -math.inf:
+    def begin_call_if_due(self, now: float) -> bool:
+        """Whether a call for the list is to begin now; if so, it counts as begun."""
+        if self._call_began_at > -math.inf and now - self._call_began_at > self._settings.ask_within:
+            self._call_began_at, self._next_call_at = -math.inf, now  # the answer never came
+        if now < self._next_call_at or self._call_began_at > -math.inf:
             return False
-        self._asked_at, self._ask_at = now, math.inf
-        self._held_until = min(self._held_until, now + SERVICE_ANSWERS)
+        self._call_began_at, self._next_call_at = now, math.inf
+        self._held_until = min(self._held_until, now + SERVICE_ANSWER_MS)
         return True
 
-    def holds(self, now: float) -> bool:
-        """Whether workers that are known by a stored list alone are sent nothing yet."""
+    def holds_stored_list(self, now: float) -> bool:
+        """Whether workers known only from a stored list are not to be used yet."""
         return now < self._held_until
 
     def next_at(self, now: float) -> float:
-        """When there is something to look at again, without an event; infinity: never."""
-        due = self._ask_at
-        if self._asked_at > -math.inf:
-            due = min(due, self._asked_at + self._settings.ask_within + self._settings.tick)
-        if self.holds(now):
+        """When this has to be looked at again without an event; infinity: never."""
+        due = self._next_call_at
+        if self._call_began_at > -math.inf:
+            due = min(due, self._call_began_at + self._settings.ask_within + self._settings.tick)
+        if self.holds_stored_list(now):
             due = min(due, self._held_until)
         return due
