--- a/eiderpin/policy/list_watch.py
+++ b/eiderpin/policy/list_watch.py
@@ -7,8 +7,8 @@
 
 from eiderpin import interface as api
 
-# Limit of the time from the start of a failed call to the next call: after 6 s every change counts as
-# delivered.
+# Limit of the time from the start of a failed call to the next call: 6 s after discovery has a change and can
+# be reached, that change counts as delivered, whether it was received or not.
 MAX_CALL_INTERVAL_MS = 4500.0
 FIRST_CALLS_SHARE = 0.15  # share of `ask_within` over which a fleet's first calls are spread
 MAX_FIRST_CALL_GAP_MS = 50.0  # between first calls: an instance that starts alone need not wait for others
