--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -46,7 +46,7 @@
 MAX_FAILED_TURNS = 4  # each turn in a row that places nothing delays the next by a gathering time, up to this
 LATE_RESERVE_SHARE = 0.25  # share of a worker's slots that jobs past their latest start leave free
 MAX_EMPTY_ROUNDS = 2  # this many rounds in a row that place nothing end a turn: there is no room
-SLOTS_GUESS = 4.0  # slots of a worker where neither ratings nor reports give a number
+DEFAULT_SLOTS = 4.0  # slots of a worker where neither ratings nor reports give a number
 LATE_START_MS = 100.0  # a start later than this shows that the worker was full
 QUEUED_MS = 60.0  # an attempt whose start is not reported by then shows that its worker is full
 UNSTARTED_PER_WORKER = 2.0  # jobs of all dispatchers that may wait for their start, in each zone
@@ -103,15 +103,15 @@
 class Shape:
     """What is known of one machine shape."""
 
-    __slots__ = ("slots", "slow", "pace", "load_step", "load_steps_seen", "misses")
+    __slots__ = ("slots", "slowdown", "run_ratio", "load_step", "load_steps_seen", "failed_slot_trials")
 
     def __init__(self) -> None:
         self.slots = 0.0  # of one worker; 0 until reports or starts show it
-        self.slow = 1.0  # run time over expected work
-        self.pace = RunSums()
+        self.slowdown = 1.0  # run time over expected work
+        self.run_ratio = RunSums()
         self.load_step = 0.0  # requests per core of a worker that holds one request: 1 / cores
         self.load_steps_seen = 0
-        self.misses = 0  # trials of one slot more that found the worker full
+        self.failed_slot_trials = 0  # trials of one slot more that found the worker full
 
     def learn_live_load(self, per_core: float) -> None:
         """Learn from live ratings (requests per core): their smallest step is one request, or 1 / cores."""
@@ -132,10 +132,10 @@
 
     __slots__ = (
         "name", "zone", "shape", "shape_name", "cell", "rating", "peak_rating", "born", "state", "ready",
-        "open_attempts", "our_slots", "others", "others_at", "slow", "slow_at", "pace",
+        "open_attempts", "our_slots", "others", "others_at", "slowdown", "slowdown_at", "run_ratio",
         "failures_in_a_row", "on_probation", "ejected_until", "cold_until", "cold_spent", "pools",
         "recently_ended", "classes", "known_slots", "last_message_at", "class_backoffs", "peer_slots",
-        "peer_cold_work", "fault", "fault_at", "last_success_at", "probed_at", "confirmed",
+        "peer_cold_work", "failure_rate", "failure_rate_at", "last_success_at", "probed_at", "confirmed",
     )  # fmt: skip
 
     def __init__(self, entry: api.WorkerEntry, shape: Shape) -> None:
@@ -151,11 +151,11 @@
         self.our_slots = 0.0  # needed by our attempts
         self.others = -1.0  # slots held by others when last observed; -1: never observed
         self.others_at = 0.0
-        self.slow = 1.0  # own run time over its shape's
-        self.pace = RunSums()
-        self.slow_at = 0.0
+        self.slowdown = 1.0  # own run time over its shape's
+        self.run_ratio = RunSums()
+        self.slowdown_at = 0.0
         self.failures_in_a_row = 0
-        self.fault = self.fault_at = 0.0  # rate of failed attempts
+        self.failure_rate = self.failure_rate_at = 0.0  # rate of failed attempts
         self.last_success_at = -math.inf  # of an attempt of ours
         self.on_probation = False  # after an ejection: one attempt at a time until one succeeds
         self.ejected_until = 0.0
@@ -380,12 +380,12 @@
         self.mean_worth = 0.0  # of a request that is answered in time
         self.start_delay_ms = [0.0, 0.0]  # recent mean time from send to start: in other zones, in our own
         self.median_start_ms = MIN_START_TIMEOUT_MS / START_TIMEOUT_FACTOR  # recent median of that time
-        self.slow_mean = 1.0  # run time over work, fleet-wide
+        self.mean_slowdown = 1.0  # run time over work, fleet-wide
         self.last_failure_at = -math.inf  # of an attempt at any worker
         self.trusted_pool = Pool()  # see `update_trusted`
         self.trust_expiry: deque[tuple[float, str]] = deque()  # (time of a success, worker), in that order
-        self.pace = RunSums()
-        self.run_mean = max(min(c.aim for c in settings.classes), 1.0)  # learned
+        self.run_ratio = RunSums()
+        self.mean_run_ms = max(min(c.aim for c in settings.classes), 1.0)  # learned
         self.timer_at = math.inf
         self.timer_handle = 0
         self.list_watch = ListWatch(settings, self.rng)
@@ -457,7 +457,7 @@
         if entry.born and entry.born != worker.born:
             # A new process: what was learned of the old one no longer holds, and it starts cold.
             worker.failures_in_a_row, worker.on_probation, worker.ejected_until = 0, False, 0.0
-            worker.others, worker.slow, worker.pace, worker.fault = -1.0, 1.0, RunSums(), 0.0
+            worker.others, worker.slowdown, worker.run_ratio, worker.failure_rate = -1.0, 1.0, RunSums(), 0.0
         worker.born = entry.born
         if entry.born and entry.born + self.settings.warm_up > self.now:
             worker.cold_until = entry.born + self.settings.warm_up
@@ -555,7 +555,7 @@
         Ratings that are always 1 tell nothing: as sizes they would leave no room for a job of two slots."""
         if worker.known_slots or worker.shape.slots:
             return worker.known_slots or worker.shape.slots
-        return max(1.0, round(worker.peak_rating)) if self.settings.ratings else SLOTS_GUESS
+        return max(1.0, round(worker.peak_rating)) if self.settings.ratings else DEFAULT_SLOTS
 
     def learns_slots_from_starts(self) -> bool:
         """Whether reported starts are the only sign of how many slots a worker has."""
@@ -572,7 +572,7 @@
         return (
             self.learns_slots_from_starts()
             and not worker.known_slots
-            and worker.shape.misses < MAX_FAILED_SLOT_TRIALS
+            and worker.shape.failed_slot_trials < MAX_FAILED_SLOT_TRIALS
             and self.slots_of_other_dispatchers(worker) < 1.0
             and worker.cold_until <= self.now
             and worker.our_slots + worker.peer_slots + need <= self.slots(worker) + 1.0
@@ -591,7 +591,7 @@
         serving = [w for w in self.workers.values() if w.state is api.WorkerState.IN_SERVICE]
         of_shape = [w for w in serving if w.shape is shape]
         before = sum(self.slots(w) for w in of_shape)
-        shape.slots, shape.misses = slots, 0
+        shape.slots, shape.failed_slot_trials = slots, 0
         self.total_slots += sum(self.slots(w) for w in of_shape) - before
 
     def warmth(self, worker: Worker) -> float:
@@ -603,10 +603,10 @@
 
     def slowness(self, worker: Worker) -> float:
         """Run time over work on this worker now: its shape's, its own (decaying) and of what is overdue."""
-        slow = worker.shape.slow
-        if worker.slow != 1.0:
-            age = (self.now - worker.slow_at) / (SLOWDOWN_DECAY_RUNS * self.run_mean)
-            slow *= 1.0 + (worker.slow - 1.0) * math.exp(-age)
+        slowdown = worker.shape.slowdown
+        if worker.slowdown != 1.0:
+            age = (self.now - worker.slowdown_at) / (SLOWDOWN_DECAY_RUNS * self.mean_run_ms)
+            slowdown *= 1.0 + (worker.slowdown - 1.0) * math.exp(-age)
         for attempt in worker.open_attempts.values():
             # Silence must make a worker look worse, never emptier, so its oldest attempt counts; but a lost
             # one would make it look slow until the client gives up.
@@ -614,9 +614,9 @@
                 continue
             late = (self.now - attempt.sent_at) / (OVERDUE_FACTOR * max(attempt.usual, 1.0))
             if late > 1.0:
-                slow *= late
+                slowdown *= late
             break
-        return slow
+        return slowdown
 
     def slots_of_others(self, worker: Worker) -> float:
         """Slots held there by the peer process, as it told, and by other dispatchers, as estimated."""
@@ -630,7 +630,7 @@
         mean = max(0.0, min(mean, MAX_ASSUMED_OTHERS_SHARE * slots, slots - 1.0))
         if worker.others < 0:
             return mean
-        age = (self.now - worker.others_at) / (OTHERS_DECAY_RUNS * self.run_mean)
+        age = (self.now - worker.others_at) / (OTHERS_DECAY_RUNS * self.mean_run_ms)
         return mean + (worker.others - mean) * math.exp(-age)
 
     def note_others(self, worker: Worker, held: float, age: float) -> None:
@@ -677,16 +677,18 @@
         if not job.has_hint:
             mean = self.class_work.setdefault(job.spec.name, run)
             self.class_work[job.spec.name] = mean + AVERAGE_GAIN * (run - mean)
-        self.run_mean += AVERAGE_GAIN * (run - self.run_mean)
+        self.mean_run_ms += AVERAGE_GAIN * (run - self.mean_run_ms)
         if worker.cold_until > self.now:
             return
         usual = self.class_work.get(job.spec.name, job.work)
-        self.slow_mean = self.pace.add(run, job.work, usual, AVERAGE_GAIN)
+        self.mean_slowdown = self.run_ratio.add(run, job.work, usual, AVERAGE_GAIN)
         # The run is bounded, so that a slow worker does not make its whole shape look slow.
-        bounded_run = min(run, MAX_SHAPE_RUN_FACTOR * shape.slow * max(job.work, usual))
-        shape.slow = shape.pace.add(bounded_run, job.work, usual, AVERAGE_GAIN)
-        worker.slow = worker.pace.add(run, job.work * shape.slow, usual * shape.slow, WORKER_GAIN)
-        worker.slow_at = self.now
+        bounded_run = min(run, MAX_SHAPE_RUN_FACTOR * shape.slowdown * max(job.work, usual))
+        shape.slowdown = shape.run_ratio.add(bounded_run, job.work, usual, AVERAGE_GAIN)
+        worker.slowdown = worker.run_ratio.add(
+            run, job.work * shape.slowdown, usual * shape.slowdown, WORKER_GAIN
+        )
+        worker.slowdown_at = self.now
 
     def load(self, worker: Worker, need: float) -> tuple[float, float]:
         """A worker's load with one more job, and the step for each further one: slots over capacity."""
@@ -717,7 +719,7 @@
 
     def cold_cost(self, worker: Worker, job: Job) -> float:
         """Cost of a job in slot time (ms). Calls count too: a small job costs half a mean run."""
-        return max(self.expected_run(worker, job), self.run_mean / 2) * job.need
+        return max(self.expected_run(worker, job), self.mean_run_ms / 2) * job.need
 
     def cold_budget(self, worker: Worker, cost: float) -> float:
         """Slot time (ms) that we may send a cold worker within the window, for a job of this cost; 0: none.
@@ -729,7 +731,7 @@
         whole budget of N calls by at most half of what is allowed for chance: by sqrt(N) + 1."""
         window = self.settings.cold_window
         whole = self.settings.cold_multiple * self.warmth(worker) * self.slots(worker) * window
-        calls = whole / max(cost, self.run_mean)
+        calls = whole / max(cost, self.mean_run_ms)
         calls += math.sqrt(calls) + 1.0
         budget = COLD_BUDGET_SHARE * whole
         holders = min(self.settings.instances, max(1, int(min(budget / cost, calls))))
@@ -740,7 +742,7 @@
 
     def expected_run(self, worker: Worker, job: Job) -> float:
         """Run time (ms) of a job on this worker when warm."""
-        return job.work * worker.shape.slow
+        return job.work * worker.shape.slowdown
 
     # -- rounds
 
@@ -752,7 +754,7 @@
                 self.update_ready(worker)
                 if worker.on_probation and not worker.ready:
                     heapq.heappush(self.ejections, (self.now + PROBATION_MS, worker.name))
-        memory = FAILURE_DECAY_RUNS * self.run_mean
+        memory = FAILURE_DECAY_RUNS * self.mean_run_ms
         while self.trust_expiry and self.trust_expiry[0][0] < self.now - memory:
             trusted = self.workers.get(self.trust_expiry.popleft()[1])
             if trusted is not None:
@@ -844,7 +846,7 @@
     def must_yield(self, job: Job, zone: str) -> bool:
         """Whether a job, late at typical speed or beyond its tenant's share, waits for our own starts to show
         room: queued at a worker it would delay others' timely jobs. With nothing open, one may go."""
-        low_priority = job.worth_scale < 1.0 or self.now + self.slow_mean * job.work > job.aim_at
+        low_priority = job.worth_scale < 1.0 or self.now + self.mean_slowdown * job.work > job.aim_at
         return low_priority and bool(
             self.unstarted_by_zone[zone] or (self.median_start_ms > LATE_START_MS and self.attempts)
         )
@@ -859,13 +861,13 @@
 
     def hopeless_from(self, job: Job) -> float:
         """Time from which no worker could end the job while its answer is still worth something."""
-        fastest = min((s.slow for s in self.shapes.values()), default=self.slow_mean)
+        fastest = min((s.slowdown for s in self.shapes.values()), default=self.mean_slowdown)
         due = job.deadline if job.spec.late_worth > 0 else job.aim_at
         return due - HOPELESS_RUN_SHARE * fastest * job.work
 
     def latest_start(self, job: Job) -> float:
         """Time by which a job must start, at typical speed, to end within its aim."""
-        return job.aim_at - RUN_MARGIN_FACTOR * self.slow_mean * job.work
+        return job.aim_at - RUN_MARGIN_FACTOR * self.mean_slowdown * job.work
 
     def place_round(self, kind: RoundKind, jobs: list[Job]) -> list[Job]:
         """Run one round of the paper's process and return the jobs that it could not place.
@@ -926,7 +928,7 @@
         job then goes only where attempts of ours succeeded lately, which a bad worker's do less often; with
         no such worker, waiting finds none. Rarely: less than twice in the failure memory, by Little's law."""
         return (
-            self.now - self.last_failure_at <= FAILURE_DECAY_RUNS * self.run_mean
+            self.now - self.last_failure_at <= FAILURE_DECAY_RUNS * self.mean_run_ms
             and self.our_slots * FAILURE_DECAY_RUNS < 2.0 * self.in_service
             and bool(self.trusted_pool.items)
             and self.now < job.arrived_at + TRUSTED_ONLY_AIM_SHARE * job.spec.aim
@@ -934,7 +936,7 @@
 
     def update_trusted(self, worker: Worker) -> None:
         """Keep the pool of ready workers with a recent success of ours and a low failure rate."""
-        memory = FAILURE_DECAY_RUNS * self.run_mean
+        memory = FAILURE_DECAY_RUNS * self.mean_run_ms
         trusted = (
             worker.ready
             and self.now - worker.last_success_at <= memory
@@ -952,9 +954,11 @@
         return sum(self.fault_of(w) >= FAULTY_RATE for w in items) <= MIN_READY_SHARE * len(items)
 
     def fault_of(self, worker: Worker) -> float:
-        if not worker.fault:
+        if not worker.failure_rate:
             return 0.0
-        return worker.fault * math.exp(-(self.now - worker.fault_at) / (FAILURE_DECAY_RUNS * self.run_mean))
+        return worker.failure_rate * math.exp(
+            -(self.now - worker.failure_rate_at) / (FAILURE_DECAY_RUNS * self.mean_run_ms)
+        )
 
     def record_result(self, worker: Worker, failed: bool) -> None:
         rate = self.fault_of(worker)
@@ -963,8 +967,8 @@
         else:
             worker.last_success_at = self.now
             self.trust_expiry.append((self.now, worker.name))
-        worker.fault = rate + FAILURE_GAIN * (1.0 - rate) if failed else rate - SUCCESS_GAIN * rate
-        worker.fault_at = self.now
+        worker.failure_rate = rate + FAILURE_GAIN * (1.0 - rate) if failed else rate - SUCCESS_GAIN * rate
+        worker.failure_rate_at = self.now
         self.update_trusted(worker)
 
     def ends_in_time(self, worker: Worker, job: Job) -> bool:
@@ -975,7 +979,7 @@
         run = job.work * self.slowness(worker) / self.warmth(worker)
         if run > job.deadline - self.now:
             return False
-        return run <= time_left or job.work * self.slow_mean > time_left
+        return run <= time_left or job.work * self.mean_slowdown > time_left
 
     # -- zones
 
@@ -1080,7 +1084,7 @@
     def open_attempt(self, job: Job, number: int, worker: Worker, sent_at: float) -> Attempt:
         """Register an attempt as sent; it takes up slots of its worker."""
         attempt = Attempt(job, number, worker, sent_at, self.expected_run(worker, job))
-        attempt.usual = max(attempt.expected, self.class_work.get(job.spec.name, 0.0) * worker.shape.slow)
+        attempt.usual = max(attempt.expected, self.class_work.get(job.spec.name, 0.0) * worker.shape.slowdown)
         job.open_attempts.append(attempt)
         job.wait_id = 0
         self.attempts[job.id, number] = attempt
@@ -1106,7 +1110,7 @@
 
     def wait_advice(self) -> float | None:
         """Time (ms) after which a refused client may retry: by then about a run's worth of slots is free."""
-        return min(self.run_mean, self.settings.max_wait_advice) if self.settings.may_advise_wait else None
+        return min(self.mean_run_ms, self.settings.max_wait_advice) if self.settings.may_advise_wait else None
 
     def on_deadline_moved(self, event: api.DeadlineMoved) -> None:
         job = self.jobs.get(event.request)
@@ -1167,15 +1171,15 @@
             self.start_delay_ms[home] += AVERAGE_GAIN * (delay - self.start_delay_ms[home])
             self.record_start_delay(delay)
             if self.learns_slots_from_starts() and attempt.beyond_slots and delay > LATE_START_MS:
-                attempt.worker.shape.misses += 1  # it had to wait for the end of another
+                attempt.worker.shape.failed_slot_trials += 1  # it had to wait for the end of another
         elif event.share > 0:
             # Progress shows that a worker has become slow long before the job ends.
             since = attempt.started_at if attempt.started_at >= 0 else attempt.sent_at
             ratio = (self.now - since) / event.share / max(attempt.usual, 1.0)
             if ratio > OVERDUE_FACTOR:
                 worker = attempt.worker
-                worker.slow += WORKER_GAIN * (min(ratio, 20.0) - worker.slow)
-                worker.slow_at = self.now
+                worker.slowdown += WORKER_GAIN * (min(ratio, 20.0) - worker.slowdown)
+                worker.slowdown_at = self.now
 
     def on_probed(self, event: api.ProbeEnded) -> None:
         worker = self.workers.get(event.worker)
@@ -1210,7 +1214,7 @@
                 worker.others, worker.others_at = self.slots_of_others(worker), self.now
             worker.peer_slots, worker.peer_cold_work = event.holds.get(worker.name, (0.0, 0.0))
 
-    def beside(self) -> api.Beside:
+    def describe_commitments(self) -> api.Beside:
         """Tell the peer process what this one holds at each worker."""
         holds, since = {}, self.now - self.settings.cold_window
         for worker in self.workers.values():
@@ -1219,7 +1223,7 @@
                 holds[worker.name] = (worker.our_slots, cold)
         return api.Beside(holds)
 
-    def hand_out(self, request: int, now: float) -> api.Standing | None:
+    def transfer_request(self, request: int, now: float) -> api.Standing | None:
         """Remove a request that continues in the peer process, and return its state; None: it has to stay."""
         job = self.jobs.get(request)
         confined = job is not None and job.possible_runs and job.spec.repeat is not api.Repeat.FREE
@@ -1270,7 +1274,7 @@
         if event.outcome is api.Outcome.REJECTED:
             held = worker.our_slots + worker.peer_slots + attempt.job.need
             if self.learns_slots_from_starts() and held > self.slots(worker):
-                worker.shape.misses += 1
+                worker.shape.failed_slot_trials += 1
             self.note_others(worker, self.slots(worker) + 1.0, 0.0)
         elif event.outcome not in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT) and not event.stale:
             self.eject(worker)
@@ -1319,7 +1323,7 @@
             else:
                 # It may lose jobs of one class only, and serve the others.
                 _, times = worker.class_backoffs.get(job.spec.name, (0.0, 0))
-                until = self.now + CLASS_BACKOFF_RUNS * self.run_mean * 2 ** min(times, MAX_DOUBLINGS)
+                until = self.now + CLASS_BACKOFF_RUNS * self.mean_run_ms * 2 ** min(times, MAX_DOUBLINGS)
                 worker.class_backoffs[job.spec.name] = (until, times + 1)
             may_resend = (
                 self.settings.may_cancel
@@ -1352,7 +1356,7 @@
         pool = self.whole_pool
         if len(pool.items) < MIN_READY_SHARE * pool.members:
             return  # nearly all look bad, so the cause is probably on our side: keep serving
-        worker.ejected_until = self.now + FIRST_EJECTION_RUNS * self.run_mean * 2 ** min(
+        worker.ejected_until = self.now + FIRST_EJECTION_RUNS * self.mean_run_ms * 2 ** min(
             worker.failures_in_a_row, MAX_DOUBLINGS
         )
         worker.failures_in_a_row += 1
@@ -1372,7 +1376,7 @@
             self.timer_handle += 1
             self.actions.append(api.SetTimer(due, self.timer_handle))
 
-    def avoided(self, now: float) -> set[str]:
+    def list_ejected_workers(self, now: float) -> set[str]:
         """Names of the workers that are sent nothing now because attempts there failed."""
         workers = (self.workers.get(name) for _, name in self.ejections)
         return {w.name for w in workers if w is not None and w.ejected_until > now}
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -47,7 +47,7 @@
     dispatcher.handle(1005.0, [api.Beside({"w0": (4.0, 0.0)})])
     dispatcher.handle(1006.0, [api.Beside(gone=True)])
     assert explain.worker(dispatcher, "w0")["others"] == pytest.approx(4.0)
-    dispatcher.handle(1006.0 + 10 * dispatcher.run_mean, [])
+    dispatcher.handle(1006.0 + 10 * dispatcher.mean_run_ms, [])
     assert explain.worker(dispatcher, "w0")["others"] < 0.1
 
 
@@ -56,7 +56,7 @@
     settings = make_settings(instances=1)
     dispatcher = started_dispatcher(settings, 1, born=990.0)
     assert send_jobs(dispatcher, 1)
-    (held,) = [dispatcher.beside().holds["w0"]]
+    (held,) = [dispatcher.describe_commitments().holds["w0"]]
     assert held[1] > 0
     other = started_dispatcher(settings, 1, born=990.0)
     other.handle(1005.0, [api.Beside({"w0": (0.0, 1e6)})])
@@ -67,15 +67,19 @@
     """Values of an older process must not replace what this one has learned itself."""
     settings = make_settings(tells_start=True, ratings=False, instances=1)
     old, new = started_dispatcher(settings), started_dispatcher(settings)
-    assert learned.of(old) == {}
-    learned.take(old, {"shapes": {"std": (7.0, 3.0, 1.5, 900.0, 600.0)},
+    assert learned.collect(old) == {}
+    learned.apply_to(old, {"shapes": {"std": (7.0, 3.0, 1.5, 900.0, 600.0)},
                        "workers": {"w1": (2.0, 4.0, 2.0, 0.5)},
                        "fleet": {"": (800.0, 900.0, 600.0)}})  # fmt: skip
-    learned.take(new, learned.of(old))
+    learned.apply_to(new, learned.collect(old))
     for dispatcher in (old, new):
         facts = explain.worker(dispatcher, "w1")
         assert (facts["slots"], facts["slowness"]) == (7.0, pytest.approx(3.0))
         assert dispatcher.is_faulty(dispatcher.workers["w1"])
-        assert (dispatcher.run_mean, dispatcher.slow_mean, dispatcher.shapes["std"].misses) == (800.0, 1.5, 3)
-    learned.take(new, {"shapes": {"std": (2.0, 0.0, 9.0, 9.0, 1.0)}})
+        assert (
+            dispatcher.mean_run_ms,
+            dispatcher.mean_slowdown,
+            dispatcher.shapes["std"].failed_slot_trials,
+        ) == (800.0, 1.5, 3)
+    learned.apply_to(new, {"shapes": {"std": (2.0, 0.0, 9.0, 9.0, 1.0)}})
     assert explain.worker(new, "w0")["slots"] == 7.0
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -49,7 +49,7 @@
         weights = [4.0 if self.rng.random() < busy else 1.0 for _ in self.dispatchers]
         entries = [entry(f"w{i}", rating=1.0, slots=SLOTS, born=1000.0) for i in range(workers)]
         for dispatcher in self.dispatchers:
-            dispatcher.run_mean = MEAN_RUN_MS  # as if learned before
+            dispatcher.mean_run_ms = MEAN_RUN_MS  # as if learned before
             dispatcher.handle(1000.0, [listed(entries)])
         self.calls: list[tuple[float, float]] = []  # to the observed worker: (when, work)
         ids, ties = count(1), count()
@@ -133,7 +133,7 @@
             sent = 0
             for i in range(instances):
                 dispatcher = Dispatcher(settings(instances, i), seed * 1000 + i)
-                dispatcher.run_mean = MEAN_RUN_MS
+                dispatcher.mean_run_ms = MEAN_RUN_MS
                 entries = [entry(f"w{k}", rating=1.0, slots=SLOTS, born=1000.0) for k in range(20)]
                 dispatcher.handle(1000.0, [listed(entries)])
                 worker, job = dispatcher.workers[f"w{seed}"], api.Request(1, "read", 8000.0, hint=MEAN_RUN_MS)
