--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -155,7 +155,7 @@
 opened = time.perf_counter() - begun
 s.ledger.turn()
 took = time.perf_counter() - begun
-ledger = s.ledger.keeper.ledger
+ledger = s.ledger.job_manager.ledger
 print(json.dumps({"open_s": round(opened, 2), "recover_s": round(took, 2), "jobs": len(ledger.jobs),
                   "open_jobs": ledger.open_jobs,
                   "memory_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024)}))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -68,7 +68,7 @@
             return data
 
         def ended() -> None:
-            self._sent += connection.taken
+            self._sent += connection.bytes_sent
 
         connection.receive, connection.on_closed = counted, ended
         return connection
@@ -76,7 +76,7 @@
     @property
     def sent(self) -> int:
         """Bytes sent so far."""
-        return self._sent + sum(connection.taken for connection in self.connections.all())
+        return self._sent + sum(connection.bytes_sent for connection in self.connections.all())
 
 
 class HollowDispatcher:
@@ -245,7 +245,7 @@
     def run(self) -> None:
         """Until the end of standard input, or its word."""
         while not self.ended:
-            self.loop.once(lambda: None, 100.0)
+            self.loop.run_once(lambda: None, 100.0)
 
 
 def main() -> None:
--- a/eiderpin/configuration.py
+++ b/eiderpin/configuration.py
@@ -15,7 +15,7 @@
 from eiderpin.net import discovery
 
 if TYPE_CHECKING:
-    from eiderpin.net.static_list import Listed
+    from eiderpin.net.static_list import ListedWorkers
     from eiderpin.parts.durable import Options
     from eiderpin.parts.observer import FollowOptions
     from eiderpin.parts.store import Options as StoreOptions
@@ -49,7 +49,7 @@
     durable: Options | None = None  # jobs that outlive the process; None: off
     store: StoreOptions | None = None  # our member of the replicated store; None: off
     follow: FollowOptions | None = None  # the members whose observer we are; None: off
-    workers: Listed | None = None  # that the configuration lists itself
+    workers: ListedWorkers | None = None  # that the configuration lists itself
     inherited: int | None = None  # the descriptor that clients' connections come by; None: we bind `listen`
 
 
@@ -190,14 +190,14 @@
         raise ConfigError("the configuration must be an object")
     try:
         settings, _ = wire.settings(said.get("settings"))
-        workers: Listed | None = None
+        workers: ListedWorkers | None = None
         if "workers" in said:
             from eiderpin.net.static_list import read_workers
 
             workers = read_workers(said["workers"], [c.name for c in settings.classes])
         where = None
         if said.get("discovery") or workers is None:
-            where = discovery.address(said.get("discovery"))
+            where = discovery.parse_address(said.get("discovery"))
         listen = _address(said.get("listen"))
         door = said.get("management")
         management = _address(door) if door else None
@@ -241,4 +241,4 @@
 def _address(text: Any) -> tuple[str, int]:
     """As in discovery, but port 0 lets the system choose one."""
     host, _, port = str(text).rpartition(":")
-    return (host, 0) if port == "0" and host else discovery.address(text)
+    return (host, 0) if port == "0" and host else discovery.parse_address(text)
--- a/eiderpin/core/dispatcher.py
+++ b/eiderpin/core/dispatcher.py
@@ -14,7 +14,7 @@
 from eiderpin.core import learned, request_log
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Clock, Deadline, Deadlines
-from eiderpin.core.durability import Keeper, OtherJob
+from eiderpin.core.durability import DurableJobManager, JobMismatchError
 from eiderpin.core.invariants import must
 from eiderpin.core.learned import Learned
 from eiderpin.core.request_log import EndReason
@@ -23,8 +23,8 @@
     Answer,
     Attempt,
     EdgeSide,
+    Endpoint,
     Request,
-    ServiceEntry,
     Verdict,
     WorkerLink,
 )
@@ -39,14 +39,14 @@
 KEPT_BYTES = 16 * 1024 * 1024
 
 
-class IdTaken(Exception):
+class RequestIdInUseError(Exception):
     """The id is another request's."""
 
 
-class WorkerOrders(Protocol):
+class WorkerOverrides(Protocol):
     """Operators' orders for workers, whatever the sources say of them."""
 
-    def on(self, entry: api.WorkerEntry) -> api.WorkerEntry:
+    def apply(self, entry: api.WorkerEntry) -> api.WorkerEntry:
         """The worker as it is to be used."""
         ...
 
@@ -56,7 +56,7 @@
 
     def watch(self) -> None:
         """Begin a watch, unless one stands or is being asked for. Its answers, and its failure, come through
-        `Dispatcher.list_told`."""
+        `Dispatcher.apply_worker_list`."""
         ...
 
 
@@ -73,7 +73,7 @@
         self.module = decide.Dispatcher(settings, seed)
         self.classes = {c.name: c for c in settings.classes}
         self.requests: SlotTable[Request] = SlotTable()
-        self.entries: dict[str, ServiceEntry] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.listed = False  # some list has come
         self._by_unique: dict[tuple[str, str], Request] = {}
         self._by_wire: dict[str, Request] = {}
@@ -81,9 +81,9 @@
         self._kept: OrderedDict[tuple[str, str], tuple[float, Answer, bool]] = OrderedDict()
         self._kept_bytes = 0
         self._wire_number = 0
-        self.ids_beside: set[str] = set()  # of jobs under way in the process beside us
-        self.keeper: Keeper | None = None  # of durable jobs; None: there are none
-        self.orders: WorkerOrders | None = None  # of the operators; None: there are none
+        self.peer_request_ids: set[str] = set()  # of jobs under way in the process beside us
+        self.job_manager: DurableJobManager | None = None  # of durable jobs; None: there are none
+        self.overrides: WorkerOverrides | None = None  # of the operators; None: there are none
         self.source: ListSource | None = None  # None: lists come unasked
         self.outstanding = 0  # jobs taken and not ended
         self.answers_by = math.inf  # when the last answer is due, where the process is about to end
@@ -95,36 +95,38 @@
     def submit(self, request: Request, waiter: EdgeSide | None) -> Request:
         """Take a job in. One that is under way or whose outcome is kept is joined, never run again.
 
-        Raises `IdTaken` where both jobs bear ids that are given once. Joining would hand a client the answer
-        to another's request; running it would let a worker meet one id twice. Raises `OtherJob` where a
-        durable job has the name and asks for something else.
+        Raises `RequestIdInUseError` where both jobs bear ids that are given once. Joining would hand a client
+        the answer to another's request; running it would let a worker meet one id twice. Raises
+        `JobMismatchError` where a durable job has the name and asks for something else.
         """
         now = self.clock.now()
         name = (request.cls, request.unique)
         self.counters.add("in.requests")
         # With no time left it is not taken on: the decisions refuse it at once.
         takes_on = self.is_durable(request.cls) and now < self.answers_by
-        keeper = self.keeper if takes_on else None
-        if keeper is None:
+        job_manager = self.job_manager if takes_on else None
+        if job_manager is None:
             self._cut_short(request)
         if request.unique:
             open_request = self._by_unique.get(name)
             kept = self._kept.get(name)
             if kept is not None and kept[0] <= now:
                 kept = None
-            taken = open_request.once if open_request is not None else kept is not None and kept[2]
+            taken = open_request.single_use_id if open_request is not None else kept is not None and kept[2]
             elsewhere = (
-                open_request is None and request.unique in self._by_wire or request.unique in self.ids_beside
+                open_request is None
+                and request.unique in self._by_wire
+                or request.unique in self.peer_request_ids
             )
-            if request.once and (taken or elsewhere):
-                raise IdTaken
-            if keeper is not None and open_request is None:
-                answer = keeper.kept(request)
+            if request.single_use_id and (taken or elsewhere):
+                raise RequestIdInUseError
+            if job_manager is not None and open_request is None:
+                answer = job_manager.stored_answer(request)
                 kept = (now, answer, False) if answer is not None else None
             if open_request is not None:
                 same = open_request.body == request.body and open_request.target == request.target
-                if keeper is not None and not same:
-                    raise OtherJob
+                if job_manager is not None and not same:
+                    raise JobMismatchError
                 self.counters.add("in.joined")
                 if waiter is not None:
                     self._join(open_request, request, waiter)
@@ -133,8 +135,10 @@
             if kept is not None:
                 self.counters.add("in.kept")
                 request.ended = True
-                if waiter is not None and keeper is not None:
-                    keeper.tell_kept(request, kept[1], lambda answer: waiter.answer(request, answer))
+                if waiter is not None and job_manager is not None:
+                    job_manager.deliver_stored_answer(
+                        request, kept[1], lambda answer: waiter.answer(request, answer)
+                    )
                 elif waiter is not None:
                     waiter.answer(request, kept[1])
                 return request
@@ -143,13 +147,13 @@
         try:
             request.id = self.requests.add(request)
         except TableFull:
-            self._finish(request, self.turned_down(math.inf), EndReason.NO_ROOM)
+            self._finish(request, self.rejection(math.inf), EndReason.NO_ROOM)
             return request
         self.outstanding += 1
         request.backstop = self._backstop(request)
         request.wire_id = self._wire_name(request.unique)
         self._by_wire[request.wire_id] = request
-        if keeper is not None and not keeper.take(request):
+        if job_manager is not None and not job_manager.accept(request):
             self._not_taken(request)
             return request
         if request.unique:
@@ -159,7 +163,7 @@
 
     def is_durable(self, cls: str) -> bool:
         """Whether jobs of this class outlive the process."""
-        return self.keeper is not None and self.keeper.covers_class(cls)
+        return self.job_manager is not None and self.job_manager.covers_class(cls)
 
     def decision_request(self, request: Request) -> api.Request:
         """The request as the decisions are told of it."""
@@ -214,7 +218,7 @@
             request.waiters.remove(waiter)
         request.background = request.background or bool(request.job)
         request_log.request_event("answered as the process ends", request, logging.INFO)
-        waiter.answer(request, self.turned_down() if request.named else FAILED)
+        waiter.answer(request, self.rejection() if request.named else FAILED)
 
     def _backstop(self, request: Request) -> Deadline:
         return self.deadlines.set(request.deadline, lambda: self._overdue(request))
@@ -226,7 +230,7 @@
             if waiter in request.waiters:
                 request.waiters.remove(waiter)
                 self.counters.add("answer.joined_overdue")
-                waiter.answer(request, self.turned_down() if asked.cut_short and asked.named else FAILED)
+                waiter.answer(request, self.rejection() if asked.cut_short and asked.named else FAILED)
 
         request.waiters.append(waiter)
         if asked.deadline < request.deadline:
@@ -250,7 +254,7 @@
         self._events.append(api.RequestGone(request.id))
         self._finish(request, None, EndReason.CLIENT_LEFT)
 
-    def turn_down(self, request: Request) -> None:
+    def reject(self, request: Request) -> None:
         """It could not be taken on after all, and nothing of it has been sent."""
         if not request.ended:
             self._events.append(api.RequestGone(request.id))
@@ -258,7 +262,7 @@
 
     def _not_taken(self, request: Request) -> None:
         self.counters.add("in.not_durable")
-        self._finish(request, self.turned_down(), EndReason.NOT_DURABLE)
+        self._finish(request, self.rejection(), EndReason.NOT_DURABLE)
 
     def detach(self, request: Request, waiter: EdgeSide) -> None:
         """As `leave`, but what has begun of a job that must not run twice is waited for, so that a
@@ -272,7 +276,7 @@
 
     # -- from the worker links
 
-    def list_told(
+    def apply_worker_list(
         self,
         link: WorkerLink,
         kind: api.ListKind,
@@ -285,16 +289,16 @@
         listed: list[api.WorkerEntry] = []
         named = set()
         for told, address in entries:
-            entry = self.orders.on(told) if self.orders is not None else told
-            known = self.entries.get(entry.name)
+            entry = self.overrides.apply(told) if self.overrides is not None else told
+            known = self.endpoints.get(entry.name)
             if known is None:
-                known = self.entries[entry.name] = ServiceEntry(entry, address, link)
+                known = self.endpoints[entry.name] = Endpoint(entry, address, link)
             known.told = told
             self._tell(known, entry, address, now)
             named.add(entry.name)
             listed.append(entry)
         if kind in (api.ListKind.COMPLETE, api.ListKind.STORED):
-            for known in self.entries.values():
+            for known in self.endpoints.values():
                 if known.link is link and known.name not in named:
                     if known.listed.state is not api.WorkerState.GONE:
                         gone = replace(known.listed, state=api.WorkerState.GONE)
@@ -305,14 +309,14 @@
         is_being_asked = kind is api.ListKind.STORED and self.source is None
         self._events.append(api.Membership(kind, listed, by_discovery, is_being_asked))
 
-    def reorder(self, names: Iterable[str]) -> None:
+    def reapply_overrides(self, names: Iterable[str]) -> None:
         """The operators' orders for these workers have changed."""
         changed = []
         for name in names:
-            known = self.entries.get(name)
-            if known is None or known.told is None or not known.listed_now or self.orders is None:
+            known = self.endpoints.get(name)
+            if known is None or known.told is None or not known.listed_now or self.overrides is None:
                 continue
-            entry = self.orders.on(known.told)
+            entry = self.overrides.apply(known.told)
             if entry != known.listed:
                 self._tell(known, entry, known.address, self.clock.now())
                 changed.append(entry)
@@ -326,23 +330,23 @@
         self.settings.instances, self.settings.instance = instances, instance
         return True
 
-    def _tell(self, known: ServiceEntry, entry: api.WorkerEntry, address: object, now: float) -> None:
+    def _tell(self, known: Endpoint, entry: api.WorkerEntry, address: object, now: float) -> None:
         known.listed, known.address = entry, address
         if entry.state is api.WorkerState.IN_SERVICE:
             known.left_at = None
         elif known.left_at is None:
             known.left_at = now
-        known.link.entry_changed(known)
+        known.link.endpoint_changed(known)
 
     def may_begin(self, attempt: Attempt) -> bool:
         """The one question that each link asks just before the first byte of an attempt, however long it took
         to get there: is somebody still waiting, does the worker still take new work, and do the decisions
         still stand by it (its window, its deadline, what else of the job may have run)?"""
         request, now = attempt.request, self.clock.now()
-        if attempt.ended or not request.wanted or self.is_deserted(request):
+        if attempt.ended or not request.wanted or self.all_waiters_left(request):
             return False
         grace = self.settings.drain_grace - GRACE_MARGIN
-        if not attempt.entry.may_be_sent(now, grace):
+        if not attempt.endpoint.may_be_sent(now, grace):
             self.counters.add("out.late.drained")
             return False
         if not self.module.may_begin(request.id, attempt.number, now):
@@ -355,7 +359,7 @@
         until = min(attempt.made_at + attempt.timeout, attempt.request.deadline - ANSWER_MARGIN)
         return until - self.clock.now()
 
-    def is_deserted(self, request: Request) -> bool:
+    def all_waiters_left(self, request: Request) -> bool:
         """Whether all who wait have gone by now: the process may have been held up, and what is ready first
         in a turn of the loop need not have come first."""
         if request.background or request.job or not all(w.has_left() for w in request.waiters):
@@ -389,8 +393,8 @@
             outcome=outcome.value,
             ms=round(self.clock.now() - attempt.made_at, 1),
         )
-        if request.job and self.keeper is not None:
-            self.keeper.released(attempt, outcome)
+        if request.job and self.job_manager is not None:
+            self.job_manager.released(attempt, outcome)
         if outcome is api.Outcome.DONE and not request.ended:
             self._finish(request, Answer(Verdict.SERVED, result), EndReason.RESULT)
         elif request.abandoned and not request.wanted and all(s.ended for s in request.attempts):
@@ -399,7 +403,7 @@
             )  # its client has gone: no further attempt begins
         self._events.append(
             api.AttemptEnded(
-                request.id, attempt.number, attempt.entry.name, outcome,
+                request.id, attempt.number, attempt.endpoint.name, outcome,
                 self.clock.now() - attempt.made_at, request.ended, report, stale,
             )
         )  # fmt: skip
@@ -410,34 +414,34 @@
             return
         attempt.accepted = True
         request = attempt.request
-        if request.job and self.keeper is not None:
-            self.keeper.renew(attempt)
-        self._events.append(api.Progress(request.id, attempt.number, attempt.entry.name, started, share))
+        if request.job and self.job_manager is not None:
+            self.job_manager.renew(attempt)
+        self._events.append(api.Progress(request.id, attempt.number, attempt.endpoint.name, started, share))
         if share > request.share and not request.ended:
             request.share = share
             for waiter in request.waiters:
                 waiter.progress(request, share)
 
-    def data_part(self, attempt: Attempt, data: bytes, warning: bool) -> None:
+    def forward_data(self, attempt: Attempt, data: bytes, warning: bool) -> None:
         """A worker's partial data, for those fronts that pass it on."""
         for waiter in attempt.request.waiters:
-            waiter.data_part(attempt.request, data, warning)
+            waiter.forward_data(attempt.request, data, warning)
 
-    def probed(self, entry: ServiceEntry, ok: bool, elapsed: float, report: api.Report | None = None) -> None:
+    def probed(self, endpoint: Endpoint, ok: bool, elapsed: float, report: api.Report | None = None) -> None:
         self.counters.add("out.probe.answered" if ok else "out.probe.failed")
-        self._events.append(api.ProbeEnded(entry.name, ok, elapsed, report))
+        self._events.append(api.ProbeEnded(endpoint.name, ok, elapsed, report))
 
     # -- with an older or a newer process beside us
 
-    def tell(self, event: api.Beside | api.Adopted | api.Request | api.RequestGone) -> None:
+    def add_event(self, event: api.Beside | api.Adopted | api.Request | api.RequestGone) -> None:
         """What that process holds, or hands to us, is for the decisions to know; so is what a ledger
         brings."""
         self._events.append(event)
 
-    def tell_learned(self, found: Learned) -> None:
+    def apply_learned(self, found: Learned) -> None:
         """What another process has learned, after all that has come in."""
         self.decide()
-        learned.take(self.module, found)
+        learned.apply_to(self.module, found)
 
     def let_go(self, request: Request) -> None:
         """It lives on elsewhere: nobody is answered and nothing is called off here."""
@@ -503,12 +507,12 @@
             for action in self.module.handle(self.clock.now(), events):
                 self._act(action)
 
-    def turned_down(self, wait: float | None = None) -> Answer:
+    def rejection(self, wait: float | None = None) -> Answer:
         """The answer that asks a client to stay away for so many ms, where the settings let it be told."""
         if not self.settings.may_advise_wait:
-            return Answer(Verdict.TURNED_DOWN)
+            return Answer(Verdict.REJECTED)
         wait = min(self.settings.max_wait_advice, WAIT_ADVICE if wait is None else wait)
-        return Answer(Verdict.TURNED_DOWN, wait=wait)
+        return Answer(Verdict.REJECTED, wait=wait)
 
     def _act(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
@@ -520,51 +524,51 @@
         elif isinstance(action, api.Refuse | api.Fail):
             request = self.requests.get(action.request)
             if request is not None and isinstance(action, api.Refuse):
-                self._finish(request, self.turned_down(action.wait), EndReason.REFUSED)
+                self._finish(request, self.rejection(action.wait), EndReason.REFUSED)
             elif request is not None:
                 self._finish(request, FAILED, EndReason.FAILED)
         elif isinstance(action, api.SetTimer):
             handle = action.handle
             self.deadlines.set(action.at, lambda: self._events.append(api.TimerFired(handle)))
         elif isinstance(action, api.Probe):
-            entry = self.entries.get(action.worker)
-            if entry is not None:
+            endpoint = self.endpoints.get(action.worker)
+            if endpoint is not None:
                 self.counters.add("out.probes")
-                entry.link.probe(entry)
+                endpoint.link.probe(endpoint)
         elif isinstance(action, api.Watch) and action.on and self.source is not None:
             self.counters.add("out.watches")
             self.source.watch()
 
     def _send(self, action: api.Send) -> None:
         request = self.requests.get(action.request)
-        entry = self.entries.get(action.worker)
-        if request is None or entry is None:
+        endpoint = self.endpoints.get(action.worker)
+        if request is None or endpoint is None:
             must(False, "sends name a request and a service entry")
             return
         now = self.clock.now()
         left = max(0.0, request.deadline - now)
         timeout = left if action.timeout is None else min(left, action.timeout)
-        attempt = Attempt(request, len(request.attempts), entry, now, timeout)
+        attempt = Attempt(request, len(request.attempts), endpoint, now, timeout)
         request.attempts.append(attempt)
         request_log.attempt_event("an attempt is sent", attempt, time_out=round(timeout))
         if must(not request.ended, "no send after the end"):
             self._expire(attempt)
-            if request.job and self.keeper is not None:
-                self.keeper.lease(attempt, lambda: entry.link.send(attempt))
+            if request.job and self.job_manager is not None:
+                self.job_manager.lease(attempt, lambda: endpoint.link.send(attempt))
             else:
-                entry.link.send(attempt)
+                endpoint.link.send(attempt)
         else:
             self.ended(attempt, api.Outcome.NOT_SENT)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.ended:
-            attempt.entry.link.cancel(attempt)
+            attempt.endpoint.link.cancel(attempt)
             self.ended(attempt, api.Outcome.TIMED_OUT)
 
     def _cancel(self, attempt: Attempt) -> None:
         if not attempt.ended:
             self.counters.add("out.cancels")
-            attempt.entry.link.cancel(attempt)
+            attempt.endpoint.link.cancel(attempt)
             self.ended(attempt, api.Outcome.CANCELLED)
 
     def _overdue(self, request: Request) -> None:
@@ -583,13 +587,13 @@
 
     def figures(self) -> dict[str, Any]:
         """What on-call staff read: how the jobs of each class ended, and how things stand."""
-        counts, listed = self.counters.counts, [e for e in self.entries.values() if e.listed_now]
+        counts, listed = self.counters.counts, [e for e in self.endpoints.values() if e.listed_now]
         return {
             "results": {c: {v.value: counts[f"answer.{c}.{v.value}"] for v in Verdict} for c in self.classes},
             "forwards": counts["out.attempts"],
             "outstanding": self.outstanding,
             "discovered": len(listed),
-            "ejected": len(self.module.avoided(self.clock.now()) & {e.name for e in listed}),
+            "ejected": len(self.module.list_ejected_workers(self.clock.now()) & {e.name for e in listed}),
         }
 
     # -- the end of a request
@@ -609,9 +613,9 @@
         self._withdraw(request)
         told, answer = answer is not None and bool(request.waiters), answer or FAILED
         self._tell_end(request, answer, why)
-        if request.job and self.keeper is not None:
+        if request.job and self.job_manager is not None:
             # Until its end is on disk it can be joined, and nobody hears of it.
-            self.keeper.end(request, answer, told, lambda answer: self._give(request, answer))
+            self.job_manager.end(request, answer, told, lambda answer: self._give(request, answer))
         else:
             self._give(request, answer)
         self._release(request)
@@ -635,7 +639,7 @@
         it never ran, and so that needs no leave to call off what workers have."""
         for attempt in request.attempts:
             if not attempt.ended and not attempt.may_have_run:
-                attempt.entry.link.cancel(attempt)
+                attempt.endpoint.link.cancel(attempt)
                 self.ended(attempt, api.Outcome.NOT_SENT)
 
     def _give(self, request: Request, answer: Answer) -> None:
@@ -664,7 +668,7 @@
             old = self._kept.pop(name, None)
             self._kept_bytes += len(answer.result) - (len(old[1].result) if old else 0)
             now = self.clock.now()
-            self._kept[name] = (now + KEPT_FOR, answer, request.once)
+            self._kept[name] = (now + KEPT_FOR, answer, request.single_use_id)
             while self._kept:
                 first = next(iter(self._kept))
                 until, oldest, _ = self._kept[first]
--- a/eiderpin/core/durability.py
+++ b/eiderpin/core/durability.py
@@ -9,28 +9,28 @@
 from eiderpin.interface import Outcome
 
 
-class OtherJob(Exception):
+class JobMismatchError(Exception):
     """The name is that of a job that asked for something else."""
 
 
-class Keeper(Protocol):
+class DurableJobManager(Protocol):
     def covers_class(self, cls: str) -> bool:
         """Whether jobs of this class have to outlive the process."""
         ...
 
-    def kept(self, request: Request) -> Answer | None:
-        """The answer of an ended job by this name. Raises `OtherJob`."""
+    def stored_answer(self, request: Request) -> Answer | None:
+        """The answer of an ended job by this name. Raises `JobMismatchError`."""
         ...
 
-    def tell_kept(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
+    def deliver_stored_answer(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
         """Tell a kept answer, once it is on disk that somebody has been told."""
         ...
 
-    def take(self, request: Request) -> bool:
+    def accept(self, request: Request) -> bool:
         """Take it on; False: the disk takes nothing now."""
         ...
 
-    def when_kept(self, request: Request, call: Callable[[bool], None]) -> None:
+    def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
         """Call once all that has been said of it is on disk (True), or cannot be put there (False)."""
         ...
 
@@ -50,6 +50,6 @@
         """Write its end; `tell` is called once that is on disk, or at its deadline with a failure."""
         ...
 
-    def late(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
+    def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
         """A worker tells of a job that is under way no more; whether it was one of ours."""
         ...
--- a/eiderpin/core/learned.py
+++ b/eiderpin/core/learned.py
@@ -12,43 +12,54 @@
 Learned: TypeAlias = dict[str, dict[str, tuple[float, ...]]]
 
 
-def of(module: Dispatcher) -> Learned:
+def collect(module: Dispatcher) -> Learned:
     """What a process that begins beside this one need not find out anew."""
-    if module.pace.work <= 0:
+    if module.run_ratio.work <= 0:
         return {}
     return {
         "shapes": {
-            name: (s.slots, s.misses, s.slow, s.pace.run, s.pace.work) for name, s in module.shapes.items()
+            name: (s.slots, s.failed_slot_trials, s.slowdown, s.run_ratio.run, s.run_ratio.work)
+            for name, s in module.shapes.items()
         },
         "workers": {
-            name: (w.slow, w.pace.run, w.pace.work, module.fault_of(w))
-            for name, w in module.workers.items() if w.pace.work or w.fault
+            name: (w.slowdown, w.run_ratio.run, w.run_ratio.work, module.fault_of(w))
+            for name, w in module.workers.items() if w.run_ratio.work or w.failure_rate
         },
-        "fleet": {"": (module.run_mean, module.pace.run, module.pace.work)},
+        "fleet": {"": (module.mean_run_ms, module.run_ratio.run, module.run_ratio.work)},
     }  # fmt: skip
 
 
-def take(module: Dispatcher, learned: Learned) -> None:
+def apply_to(module: Dispatcher, learned: Learned) -> None:
     """Before its first run, what another process has learned is better than this one's guesses."""
-    if module.pace.work > 0:
+    if module.run_ratio.work > 0:
         return
-    for name, (slots, misses, slow, run, work) in learned.get("shapes", {}).items():
+    for name, (slots, failed_slot_trials, slowdown, run, work) in learned.get("shapes", {}).items():
         shape = module.shapes.get(name)
         if shape is not None:
             if slots:
                 module.set_slots(shape, slots)
-            shape.misses, shape.slow, shape.pace.run, shape.pace.work = int(misses), slow, run, work
-    for name, (slow, run, work, fault) in learned.get("workers", {}).items():
+            shape.failed_slot_trials, shape.slowdown, shape.run_ratio.run, shape.run_ratio.work = (
+                int(failed_slot_trials),
+                slowdown,
+                run,
+                work,
+            )
+    for name, (slowdown, run, work, failure_rate) in learned.get("workers", {}).items():
         worker = module.workers.get(name)
         if worker is not None:
-            worker.fault, worker.fault_at = fault, module.now
-            worker.slow, worker.slow_at, worker.pace.run, worker.pace.work = slow, module.now, run, work
+            worker.failure_rate, worker.failure_rate_at = failure_rate, module.now
+            worker.slowdown, worker.slowdown_at, worker.run_ratio.run, worker.run_ratio.work = (
+                slowdown,
+                module.now,
+                run,
+                work,
+            )
     for mean, run, work in learned.get("fleet", {}).values():
-        module.run_mean, module.pace.run, module.pace.work = mean, run, work
-        module.slow_mean = run / max(work, 1.0)
+        module.mean_run_ms, module.run_ratio.run, module.run_ratio.work = mean, run, work
+        module.mean_slowdown = run / max(work, 1.0)
 
 
-def check(said: Any) -> Learned:
+def parse(said: Any) -> Learned:
     """Raises `ValueError`, `KeyError`, `TypeError` or `AttributeError` where it makes no sense."""
     found: Learned = {}
     for kind, of in said.items():
--- a/eiderpin/core/requests.py
+++ b/eiderpin/core/requests.py
@@ -14,7 +14,7 @@
     """What a final answer says; by these names it is counted."""
 
     SERVED = "succeeded"
-    TURNED_DOWN = "declined"
+    REJECTED = "declined"
     FAILED = "aborted"
 
 
@@ -35,7 +35,7 @@
 
     def progress(self, request: Request, share: float) -> None: ...
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None: ...
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None: ...
 
     def has_left(self) -> bool:
         """Whether it has gone, though that may not have been dealt with yet."""
@@ -60,7 +60,9 @@
     priority: int = 0
     background: bool = False  # goes on though nobody waits
     abandoned: bool = False  # nobody waits any more; what has begun runs on, and nothing else begins
-    once: bool = False  # its front gives each request an id of its own: another `once` with it is refused
+    single_use_id: bool = (
+        False  # its front gives each request an id of its own: another `single_use_id` with it is refused
+    )
     id: int = -1
     job: int = 0  # its number among the durable ones; 0: it is not durable
     backstop: Deadline | None = None
@@ -80,7 +82,7 @@
     @property
     def named(self) -> bool:
         """Whether its client can ask for it again by its name, and then joins it or gets its kept answer."""
-        return bool(self.unique) and not self.once
+        return bool(self.unique) and not self.single_use_id
 
     @property
     def wanted(self) -> bool:
@@ -98,17 +100,17 @@
 
     def cancel(self, attempt: Attempt) -> None: ...
 
-    def probe(self, entry: ServiceEntry) -> None: ...
+    def probe(self, endpoint: Endpoint) -> None: ...
 
-    def entry_changed(self, entry: ServiceEntry) -> None: ...
+    def endpoint_changed(self, endpoint: Endpoint) -> None: ...
 
-    def may_move(self, attempt: Attempt) -> bool:
+    def may_transfer(self, attempt: Attempt) -> bool:
         """Whether it goes on, and its end can be told, without the connection that it was sent on."""
         ...
 
 
 @dataclass(slots=True, eq=False)
-class ServiceEntry:
+class Endpoint:
     listed: WorkerEntry
     address: Any  # means something to its link only
     link: WorkerLink
@@ -136,7 +138,7 @@
 class Attempt:
     request: Request
     number: int
-    entry: ServiceEntry
+    endpoint: Endpoint
     made_at: float
     timeout: float  # ms after which the dispatcher stops waiting for it
     accepted: bool = False  # the worker has said that it took the job
--- a/eiderpin/core/wall_clock.py
+++ b/eiderpin/core/wall_clock.py
@@ -41,7 +41,7 @@
         now = clock.now()
         self.offsets = [Offset(0.0, now, now)]  # the oldest first; the clock began with the wall's own time
 
-    def look(self) -> None:
+    def sample(self) -> None:
         """Note the offset that holds now; to be called every few seconds."""
         for _ in range(TRIES):
             before = self._clock.now()
@@ -58,9 +58,9 @@
         else:
             self.offsets = [*self.offsets[1 - MOST_OFFSETS :], Offset(value, now, now)]
 
-    def steady(self, wall: float) -> float:
+    def to_steady(self, wall: float) -> float:
         """The moment at which the wall clock showed this time, on the steady clock; now, if it fits none."""
-        self.look()
+        self.sample()
         now = self._clock.now()
         fitting = [
             wall - o.value for i, o in enumerate(self.offsets) if self._was_in_force(i, wall - o.value)
--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -45,7 +45,7 @@
 BARREN_TURNS = 4  # turns that place nothing come rarer, down to this many gathering times more apart
 LATE_RESERVE = 0.25  # share of a worker's slots that jobs past their latest start leave free
 FULL_ROUNDS = 2  # this many rounds in a row that place nothing end the turn: there is no room to be found
-SLOTS_GUESS = 4.0  # slots of a worker where neither ratings nor reports tell ...
+DEFAULT_SLOTS = 4.0  # slots of a worker where neither ratings nor reports tell ...
 START_LATE = 100.0  # ms; ... a start that comes later than this shows a worker that was full ...
 QUEUED = 60.0  # ms; ... and an attempt whose start was not told by then, one that is full
 WAITING = 2.0  # jobs that wait for their start at a worker, from all dispatchers together: in each zone ...
@@ -100,15 +100,15 @@
 class Shape:
     """What is learned of one kind of machine."""
 
-    __slots__ = ("slots", "slow", "pace", "step", "steps", "misses")
+    __slots__ = ("slots", "slowdown", "run_ratio", "step", "steps", "failed_slot_trials")
 
     def __init__(self) -> None:
         self.slots = 0.0  # slots of one worker, 0 until a report shows it
-        self.slow = 1.0  # run time over expected work
-        self.pace = Pace()
+        self.slowdown = 1.0  # run time over expected work
+        self.run_ratio = Pace()
         self.step = 0.0  # requests per core of a worker that holds one: 1 / cores
         self.steps = 0
-        self.misses = 0  # trials of one slot more that found the worker full
+        self.failed_slot_trials = 0  # trials of one slot more that found the worker full
 
     def hear_live(self, per_core: float) -> None:
         """Live ratings tell requests per core: their smallest step is one request, and so tells the cores."""
@@ -129,9 +129,10 @@
 
     __slots__ = (
         "name", "zone", "shape", "shape_name", "cell", "rating", "size", "born", "state", "ready", "out",
-        "ours", "others", "others_at", "slow", "slow_at", "pace", "failures", "trial", "rest_until",
-        "cold_until", "cold_spent", "pools", "ended", "classes", "known_slots", "heard", "shuns",
-        "beside", "beside_cold", "fault", "fault_at", "served_at", "asked_at", "confirmed",
+        "ours", "others", "others_at", "slowdown", "slowdown_at", "run_ratio", "failures", "trial",
+        "rest_until", "cold_until", "cold_spent", "pools", "ended", "classes", "known_slots", "heard",
+        "shuns", "beside", "beside_cold", "failure_rate", "failure_rate_at", "served_at", "asked_at",
+        "confirmed",
     )  # fmt: skip
 
     def __init__(self, entry: api.WorkerEntry, shape: Shape) -> None:
@@ -147,11 +148,11 @@
         self.ours = 0.0  # slots they need
         self.others = -1.0  # slots held by others when last observed, -1: never
         self.others_at = 0.0
-        self.slow = 1.0  # own run time over its shape's
-        self.pace = Pace()
-        self.slow_at = 0.0
+        self.slowdown = 1.0  # own run time over its shape's
+        self.run_ratio = Pace()
+        self.slowdown_at = 0.0
         self.failures = 0  # in a row
-        self.fault = self.fault_at = 0.0  # how often attempts have failed here, lately
+        self.failure_rate = self.failure_rate_at = 0.0  # how often attempts have failed here, lately
         self.served_at = -math.inf  # when an attempt of ours last succeeded here
         self.trial = False  # back from a rest: one attempt at a time until one succeeds
         self.rest_until = 0.0
@@ -374,12 +375,12 @@
         self.worth_mean = 0.0  # what a request is worth, in time
         self.starts = [0.0, 0.0]  # ms from a send to its start, lately: elsewhere, and in our own zone
         self.start = SILENT / STARTS  # ms that half of all starts take at most, lately
-        self.slow_mean = 1.0  # run time over work, fleet-wide
+        self.mean_slowdown = 1.0  # run time over work, fleet-wide
         self.failed_at = -math.inf  # when an attempt last failed, anywhere
         self.trusted = Pool()  # ready workers where attempts of ours succeeded lately and none failed since
         self.trust_ends: deque[tuple[float, str]] = deque()  # (success, worker) in their order
-        self.pace = Pace()
-        self.run_mean = max(min(c.aim for c in settings.classes), 1.0)  # mean run time, learned
+        self.run_ratio = Pace()
+        self.mean_run_ms = max(min(c.aim for c in settings.classes), 1.0)  # mean run time, learned
         self.timer_at = math.inf
         self.timer_handle = 0
         self.list_watch = ListWatch(settings, self.rng)
@@ -450,7 +451,7 @@
         if entry.born and entry.born != worker.born:
             # A new process: what was learned of the old one is void, and it starts cold.
             worker.failures, worker.trial, worker.rest_until = 0, False, 0.0
-            worker.others, worker.slow, worker.pace, worker.fault = -1.0, 1.0, Pace(), 0.0
+            worker.others, worker.slowdown, worker.run_ratio, worker.failure_rate = -1.0, 1.0, Pace(), 0.0
         worker.born = entry.born
         if entry.born and entry.born + self.s.warm_up > self.now:
             worker.cold_until = entry.born + self.s.warm_up
@@ -548,7 +549,7 @@
         """
         if worker.known_slots or worker.shape.slots:
             return worker.known_slots or worker.shape.slots
-        return max(1.0, round(worker.size)) if self.s.ratings else SLOTS_GUESS
+        return max(1.0, round(worker.size)) if self.s.ratings else DEFAULT_SLOTS
 
     def learns_slots(self) -> bool:
         """Whether starts are all that tells how many slots a worker has."""
@@ -566,7 +567,7 @@
         return (
             self.learns_slots()
             and not worker.known_slots
-            and worker.shape.misses < TRIAL_MISSES
+            and worker.shape.failed_slot_trials < TRIAL_MISSES
             and self.elsewhere(worker) < 1.0
             and worker.cold_until <= self.now
             and worker.ours + worker.beside + need <= self.slots(worker) + 1.0
@@ -585,7 +586,7 @@
         serving = [w for w in self.workers.values() if w.state is api.WorkerState.IN_SERVICE]
         of_shape = [w for w in serving if w.shape is shape]
         before = sum(self.slots(w) for w in of_shape)
-        shape.slots, shape.misses = slots, 0
+        shape.slots, shape.failed_slot_trials = slots, 0
         self.slots_in_service += sum(self.slots(w) for w in of_shape) - before
 
     def warmth(self, worker: Worker) -> float:
@@ -597,10 +598,10 @@
 
     def slowness(self, worker: Worker) -> float:
         """Run time over work on this worker now: its shape's, its own (fading), and what is overdue."""
-        slow = worker.shape.slow
-        if worker.slow != 1.0:
-            age = (self.now - worker.slow_at) / (SPEED_MEMORY * self.run_mean)
-            slow *= 1.0 + (worker.slow - 1.0) * math.exp(-age)
+        slowdown = worker.shape.slowdown
+        if worker.slowdown != 1.0:
+            age = (self.now - worker.slowdown_at) / (SPEED_MEMORY * self.mean_run_ms)
+            slowdown *= 1.0 + (worker.slowdown - 1.0) * math.exp(-age)
         for attempt in worker.out.values():
             # Silence must make a worker look worse, never emptier: its oldest attempt tells. But one that got
             # lost on its way would do so for all of its client's patience.
@@ -608,9 +609,9 @@
                 continue
             late = (self.now - attempt.sent) / (OVERDUE * max(attempt.usual, 1.0))
             if late > 1.0:
-                slow *= late
+                slowdown *= late
             break
-        return slow
+        return slowdown
 
     def others(self, worker: Worker) -> float:
         """Slots that others hold there: what the process beside us told, and what other dispatchers hold."""
@@ -624,7 +625,7 @@
         mean = max(0.0, min(mean, GUESS_LIMIT * slots, slots - 1.0))
         if worker.others < 0:
             return mean
-        age = (self.now - worker.others_at) / (FADE * self.run_mean)
+        age = (self.now - worker.others_at) / (FADE * self.mean_run_ms)
         return mean + (worker.others - mean) * math.exp(-age)
 
     def observe(self, worker: Worker, held: float, age: float) -> None:
@@ -670,16 +671,18 @@
         if not job.hinted:
             mean = self.work.setdefault(job.spec.name, run)
             self.work[job.spec.name] = mean + SHAPE_GAIN * (run - mean)
-        self.run_mean += SHAPE_GAIN * (run - self.run_mean)
+        self.mean_run_ms += SHAPE_GAIN * (run - self.mean_run_ms)
         if worker.cold_until > self.now:
             return
         usual = self.work.get(job.spec.name, job.work)
-        self.slow_mean = self.pace.hear(run, job.work, usual, SHAPE_GAIN)
+        self.mean_slowdown = self.run_ratio.hear(run, job.work, usual, SHAPE_GAIN)
         # A slow worker must not make its whole shape look slow: the shape hears a bounded share of it.
-        heard = min(run, BOUND * shape.slow * max(job.work, usual))
-        shape.slow = shape.pace.hear(heard, job.work, usual, SHAPE_GAIN)
-        worker.slow = worker.pace.hear(run, job.work * shape.slow, usual * shape.slow, SPEED_GAIN)
-        worker.slow_at = self.now
+        heard = min(run, BOUND * shape.slowdown * max(job.work, usual))
+        shape.slowdown = shape.run_ratio.hear(heard, job.work, usual, SHAPE_GAIN)
+        worker.slowdown = worker.run_ratio.hear(
+            run, job.work * shape.slowdown, usual * shape.slowdown, SPEED_GAIN
+        )
+        worker.slowdown_at = self.now
 
     def load(self, worker: Worker, need: float) -> tuple[float, float]:
         """A worker's height with one more job, and the step for each further one: work over capacity."""
@@ -711,7 +714,7 @@
 
     def cold_cost(self, worker: Worker, job: Job) -> float:
         """What a job takes of the budget, in slot time. Calls count too: a small one as half a mean one."""
-        return max(self.expected_run(worker, job), self.run_mean / 2) * job.need
+        return max(self.expected_run(worker, job), self.mean_run_ms / 2) * job.need
 
     def cold_part(self, worker: Worker, cost: float) -> float:
         """Slot time that we alone may send a cold worker within the window, for a job of this cost; 0: none.
@@ -725,7 +728,7 @@
         """
         window = self.s.cold_window
         whole = self.s.cold_multiple * self.warmth(worker) * self.slots(worker) * window
-        calls = whole / max(cost, self.run_mean)
+        calls = whole / max(cost, self.mean_run_ms)
         calls += math.sqrt(calls) + 1.0
         budget = COLD_MARGIN * whole
         holders = min(self.s.instances, max(1, int(min(budget / cost, calls))))
@@ -736,7 +739,7 @@
 
     def expected_run(self, worker: Worker, job: Job) -> float:
         """Run time of a job on this worker when warm."""
-        return job.work * worker.shape.slow
+        return job.work * worker.shape.slowdown
 
     # -- rounds
 
@@ -748,7 +751,7 @@
                 self.set_ready(rested)
                 if rested.trial and not rested.ready:
                     heapq.heappush(self.resting, (self.now + TRIAL, rested.name))
-        memory = FAULT_MEMORY * self.run_mean
+        memory = FAULT_MEMORY * self.mean_run_ms
         while self.trust_ends and self.trust_ends[0][0] < self.now - memory:
             trusted = self.workers.get(self.trust_ends.popleft()[1])
             if trusted is not None:
@@ -840,7 +843,7 @@
         """Whether a job, late at typical speed or beyond its tenant's share, is to wait for room to show in
         our own starts: at a worker it would stand before jobs of other dispatchers that are in time. With
         nothing of ours out, one may look."""
-        last = job.scale < 1.0 or self.now + self.slow_mean * job.work > job.aim_at
+        last = job.scale < 1.0 or self.now + self.mean_slowdown * job.work > job.aim_at
         return last and bool(self.waiting[zone] or (self.start > START_LATE and self.attempts))
 
     def still_waits(self, job: Job) -> bool:
@@ -853,13 +856,13 @@
 
     def hopeless_from(self, job: Job) -> float:
         """From when on no worker could end the job while its answer is still worth something."""
-        fastest = min((s.slow for s in self.shapes.values()), default=self.slow_mean)
+        fastest = min((s.slowdown for s in self.shapes.values()), default=self.mean_slowdown)
         by = job.deadline if job.spec.late_worth > 0 else job.aim_at
         return by - HOPE * fastest * job.work
 
     def latest_start(self, job: Job) -> float:
         """When a job must start at typical speed to end within its aim."""
-        return job.aim_at - RUN_MARGIN * self.slow_mean * job.work
+        return job.aim_at - RUN_MARGIN * self.mean_slowdown * job.work
 
     def round(self, kind: Kind, jobs: list[Job]) -> list[Job]:
         """One round of the paper's process; returns the jobs that it could not place.
@@ -923,7 +926,7 @@
         have succeeded lately, as a bad one's do less often; where there is no such worker, waiting finds
         none. Seldom is less than twice in the fault memory, by Little's law from what we hold."""
         return (
-            self.now - self.failed_at <= FAULT_MEMORY * self.run_mean
+            self.now - self.failed_at <= FAULT_MEMORY * self.mean_run_ms
             and self.ours * FAULT_MEMORY < 2.0 * self.in_service
             and bool(self.trusted.items)
             and self.now < job.came + PICKY * job.spec.aim
@@ -931,7 +934,7 @@
 
     def trust(self, worker: Worker) -> None:
         """Keep the pool of workers that have served us lately, are ready and have not failed since."""
-        memory = FAULT_MEMORY * self.run_mean
+        memory = FAULT_MEMORY * self.mean_run_ms
         trusted = worker.ready and self.now - worker.served_at <= memory and self.fault_of(worker) < TRUSTED
         if trusted is not (worker.name in self.trusted.place):
             (self.trusted.add if trusted else self.trusted.remove)(worker)
@@ -945,19 +948,21 @@
         return sum(self.fault_of(w) >= FAULTY for w in items) <= KEEP_SHARE * len(items)
 
     def fault_of(self, worker: Worker) -> float:
-        if not worker.fault:
+        if not worker.failure_rate:
             return 0.0
-        return worker.fault * math.exp(-(self.now - worker.fault_at) / (FAULT_MEMORY * self.run_mean))
+        return worker.failure_rate * math.exp(
+            -(self.now - worker.failure_rate_at) / (FAULT_MEMORY * self.mean_run_ms)
+        )
 
     def hear_fault(self, worker: Worker, failed: bool) -> None:
-        fault = self.fault_of(worker)
+        rate = self.fault_of(worker)
         if failed:
             self.failed_at = self.now
         else:
             worker.served_at = self.now
             self.trust_ends.append((self.now, worker.name))
-        worker.fault = fault + FAULT_GAIN * (1.0 - fault) if failed else fault - SOUND_GAIN * fault
-        worker.fault_at = self.now
+        worker.failure_rate = rate + FAULT_GAIN * (1.0 - rate) if failed else rate - SOUND_GAIN * rate
+        worker.failure_rate_at = self.now
         self.trust(worker)
 
     def in_time(self, worker: Worker, job: Job) -> bool:
@@ -970,7 +975,7 @@
         here = job.work * self.slowness(worker) / self.warmth(worker)
         if here > job.deadline - self.now:
             return False
-        return here <= left or job.work * self.slow_mean > left
+        return here <= left or job.work * self.mean_slowdown > left
 
     # -- zones
 
@@ -1078,7 +1083,7 @@
     def commit(self, job: Job, number: int, worker: Worker, sent: float) -> Attempt:
         """An attempt is out, and takes up its worker's slots."""
         attempt = Attempt(job, number, worker, sent, self.expected_run(worker, job))
-        attempt.usual = max(attempt.expected, self.work.get(job.spec.name, 0.0) * worker.shape.slow)
+        attempt.usual = max(attempt.expected, self.work.get(job.spec.name, 0.0) * worker.shape.slowdown)
         job.out.append(attempt)
         job.wait = 0
         self.attempts[job.id, number] = attempt
@@ -1104,7 +1109,7 @@
 
     def advice(self) -> float | None:
         """When a refused client may come back: by then about one run time's worth of slots is free."""
-        return min(self.run_mean, self.s.max_wait_advice) if self.s.may_advise_wait else None
+        return min(self.mean_run_ms, self.s.max_wait_advice) if self.s.may_advise_wait else None
 
     def on_deadline_moved(self, event: api.DeadlineMoved) -> None:
         job = self.jobs.get(event.request)
@@ -1165,15 +1170,16 @@
             self.starts[home] += SHAPE_GAIN * (late - self.starts[home])
             self.hear_start(late)
             if self.learns_slots() and attempt.over and late > START_LATE:
-                attempt.worker.shape.misses += 1  # started once another had ended: there is no slot more
+                # started once another had ended: there is no slot more
+                attempt.worker.shape.failed_slot_trials += 1
         elif event.share > 0:
             # Bad news early: a worker gone slow shows in a job's progress long before it ends.
             since = attempt.started if attempt.started >= 0 else attempt.sent
             ratio = (self.now - since) / event.share / max(attempt.usual, 1.0)
             if ratio > OVERDUE:
                 worker = attempt.worker
-                worker.slow += SPEED_GAIN * (min(ratio, 20.0) - worker.slow)
-                worker.slow_at = self.now
+                worker.slowdown += SPEED_GAIN * (min(ratio, 20.0) - worker.slowdown)
+                worker.slowdown_at = self.now
 
     def on_probed(self, event: api.ProbeEnded) -> None:
         worker = self.workers.get(event.worker)
@@ -1209,7 +1215,7 @@
                 worker.others, worker.others_at = self.others(worker), self.now
             worker.beside, worker.beside_cold = event.holds.get(worker.name, (0.0, 0.0))
 
-    def beside(self) -> api.Beside:
+    def describe_commitments(self) -> api.Beside:
         """What the process beside us has to know."""
         holds, since = {}, self.now - self.s.cold_window
         for worker in self.workers.values():
@@ -1218,7 +1224,7 @@
                 holds[worker.name] = (worker.ours, cold)
         return api.Beside(holds)
 
-    def hand_out(self, request: int, now: float) -> api.Standing | None:
+    def transfer_request(self, request: int, now: float) -> api.Standing | None:
         """Forget a request that goes on in the process beside us; None where it has to stay."""
         job = self.jobs.get(request)
         bound = job is not None and job.risky and job.spec.repeat is not api.Repeat.FREE
@@ -1269,7 +1275,7 @@
         if event.outcome is api.Outcome.REJECTED:
             held = worker.ours + worker.beside + attempt.job.need
             if self.learns_slots() and held > self.slots(worker):
-                worker.shape.misses += 1
+                worker.shape.failed_slot_trials += 1
             self.observe(worker, self.slots(worker) + 1.0, 0.0)
         elif event.outcome not in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT) and not event.stale:
             self.rest(worker)
@@ -1321,7 +1327,7 @@
             else:
                 # It may lose jobs of one class alone, and go on with the others.
                 _, times = worker.shuns.get(job.spec.name, (0.0, 0))
-                until = self.now + SHUN * self.run_mean * 2 ** min(times, REST_LIMIT)
+                until = self.now + SHUN * self.mean_run_ms * 2 ** min(times, REST_LIMIT)
                 worker.shuns[job.spec.name] = (until, times + 1)
             again = self.s.may_cancel and job.sends < self.s.max_attempts and may_repeat(job, self.now)
             if again and (mute or attempt.lost):
@@ -1348,7 +1354,7 @@
         pool = self.everyone
         if len(pool.items) < KEEP_SHARE * pool.members:
             return  # nearly all look bad: it is our own view that is at fault, so keep serving
-        worker.rest_until = self.now + REST * self.run_mean * 2 ** min(worker.failures, REST_LIMIT)
+        worker.rest_until = self.now + REST * self.mean_run_ms * 2 ** min(worker.failures, REST_LIMIT)
         worker.failures += 1
         worker.trial = True
         self.set_ready(worker)
@@ -1370,7 +1376,7 @@
 
     # -- what on-call staff may ask
 
-    def avoided(self, now: float) -> set[str]:
+    def list_ejected_workers(self, now: float) -> set[str]:
         """The workers that are sent nothing now because attempts there failed."""
         resting = (self.workers.get(name) for _, name in self.resting)
         return {w.name for w in resting if w is not None and w.rest_until > now}
--- a/eiderpin/fleet/control_plane.py
+++ b/eiderpin/fleet/control_plane.py
@@ -17,7 +17,7 @@
 from eiderpin.fleet.observer import Observer, Standing
 from eiderpin.fleet.subscription import Subscription
 from eiderpin.net.loop import Loop
-from eiderpin.net.management import Call
+from eiderpin.net.management import ManagementConnection
 from eiderpin.parts.observer import FollowOptions
 from eiderpin.store.observer_protocol import Report
 from eiderpin.store.state import Event
@@ -146,13 +146,13 @@
 class ObserverCalls:
     """The store's calls at an observer's management address: its own status; all else is the members'."""
 
-    most_line = 1 << 20
+    max_line_bytes = 1 << 20
 
     def __init__(self, control_plane: ControlPlane) -> None:
         """Answer for this observer."""
         self.control_plane = control_plane
 
-    def call(self, caller: Call, said: bytes) -> None:
+    def call(self, caller: ManagementConnection, said: bytes) -> None:
         """Answer one line of JSON."""
         try:
             asked = orjson.loads(said)
--- a/eiderpin/fleet/followed_documents.py
+++ b/eiderpin/fleet/followed_documents.py
@@ -60,7 +60,7 @@
         self.say, self.warn = say, warn
         self.config = AppliedConfig()
         self.orders = orders.Orders()
-        core.orders = self.orders
+        core.overrides = self.orders
 
     def take(self, name: str, value: bytes | None) -> None:
         """The document of this name has changed; None: it is gone."""
@@ -81,7 +81,7 @@
         if self.orders.take(worker, order):
             self.counters.add("store.orders")
             self.say(f"store: order for worker {worker}: {order if order is not None else 'taken back'}")
-            self.core.reorder([worker])
+            self.core.reapply_overrides([worker])
 
     def take_config(self, value: bytes | None) -> None:
         """The shared configuration has changed; without one, what was taken last stays in force."""
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -16,7 +16,7 @@
 
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.durability import OtherJob
+from eiderpin.core.durability import JobMismatchError
 from eiderpin.core.requests import FAILED, Answer, Attempt, Request, Verdict
 from eiderpin.fleet import incarnation
 from eiderpin.fleet.incarnation import Incarnation
@@ -44,8 +44,8 @@
 
 
 class Outcomes:
-    """Implements `core.durability.Keeper`. `keep`: ms for which an outcome is kept after a job's claim, or a
-    little longer."""
+    """Implements `core.durability.DurableJobManager`. `keep`: ms for which an outcome is kept after a job's
+    claim, or a little longer."""
 
     def __init__(
         self, host: StoreHost, core: Dispatcher, classes: frozenset[str], keep: float, life: Incarnation
@@ -130,13 +130,13 @@
         latest = document is not None and incarnation.holds(by, self.life.generation, document.revision)
         return latest and store.get(PRESENT + name) is not None
 
-    def kept(self, request: Request) -> Answer | None:
+    def stored_answer(self, request: Request) -> Answer | None:
         """A job's kept answer; None: there is none."""
         claim = self.claim_of(request)
         if claim is None:
             return None
         if claim.print and claim.print != fingerprint(request.target, request.body):
-            raise OtherJob
+            raise JobMismatchError
         if claim.verdict:
             served = claim.verdict == Verdict.SERVED.value
             return Answer(Verdict.SERVED, claim.result) if served else FAILED
@@ -144,11 +144,11 @@
             return None if self.name_of(request) in self.unsent else FAILED
         return None if self.alive(claim.by) else FAILED
 
-    def tell_kept(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
+    def deliver_stored_answer(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
         """Give a kept answer; it is in the store already."""
         tell(answer)
 
-    def take(self, request: Request) -> bool:
+    def accept(self, request: Request) -> bool:
         """Take a job on; whether it is one whose outcome is kept."""
         claim = self.claim_of(request)
         if self.host.member.failed or (claim is not None and claim.by != self.me):
@@ -157,7 +157,7 @@
         request.job = self.number
         return True
 
-    def when_kept(self, request: Request, call: Callable[[bool], None]) -> None:
+    def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
         """Call once the job is claimed (True), or cannot be (False)."""
         call(True)
 
@@ -199,7 +199,7 @@
         """It can't be claimed, and nothing of it has been sent."""
         self.core.counters.add("outcomes.not_claimed")
         self.core.ended(attempt, Outcome.NOT_SENT)
-        self.core.turn_down(attempt.request)
+        self.core.reject(attempt.request)
 
     def note_unsent(self, name: str) -> None:
         """Nothing of this job went out: its claim may be given back."""
@@ -248,7 +248,7 @@
         guard = self.core.deadlines.set(at, once)
         self.submit(state.Transaction([put]), once, CLAIM_WITHIN)
 
-    def late(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
+    def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
         """A result for a job that has ended here; whether it was kept."""
         return False
 
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -8,17 +8,17 @@
 from typing import Any
 
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.durability import OtherJob
-from eiderpin.core.moves import Waits, let_durable_go
+from eiderpin.core.durability import JobMismatchError
+from eiderpin.core.moves import WaitingClient, transfer_durable_request
 from eiderpin.core.requests import FAILED, Request
 from eiderpin.durable.files import Locked
 from eiderpin.durable.frames import BadFormat
 from eiderpin.durable.reading import Damaged
 from eiderpin.jobs.elsewhere import Elsewhere
-from eiderpin.jobs.keeper import JobKeeper
+from eiderpin.jobs.keeper import JobManager
 from eiderpin.jobs.ledger import BrokenRule
 from eiderpin.jobs.recovery import recover
-from eiderpin.net.edge import EdgeConnection
+from eiderpin.net.edge import ClientConnection
 from eiderpin.net.loop import READ, Loop
 from eiderpin.net.workers import HttpWorkers
 from eiderpin.parts.durable import Options
@@ -41,11 +41,13 @@
         self.loop, self.core, self.workers = loop, core, workers
         self.options, self.name, self.shared = options, name, shared
         self.say, self.warn = say, warn
-        self.keeper: JobKeeper | None = None
+        self.job_manager: JobManager | None = None
         self.ask_at = math.inf  # when we ask for it again
         self.begun_at = loop.clock.now()
-        self.given_up = False  # it is the successor's, or about to be
-        self.waiting: list[tuple[Request, EdgeConnection]] = []  # its last owner's clients, until it is ready
+        self.released = False  # it is the successor's, or about to be
+        self.waiting: list[
+            tuple[Request, ClientConnection]
+        ] = []  # its last owner's clients, until it is ready
         self.open()
 
     # -- taking it
@@ -53,32 +55,32 @@
     def open(self) -> None:
         """Own the ledger and read it; one that the process beside us may own is asked for again later."""
         try:
-            keeper = JobKeeper(self.core, self.options, self.name)
+            job_manager = JobManager(self.core, self.options, self.name)
         except UNREADABLE as error:
             if not isinstance(error, Locked) or not self.shared:
                 raise
-            if self.core.keeper is None:
-                self.core.keeper = Elsewhere(self.options)
+            if self.core.job_manager is None:
+                self.core.job_manager = Elsewhere(self.options)
             self.ask_at = self.loop.clock.now() + ASK_EVERY
             return
-        self.core.keeper = self.keeper = keeper
+        self.core.job_manager = self.job_manager = job_manager
         self.ask_at = math.inf
-        self.loop.selector.register(keeper.log, READ, lambda mask: keeper.settle())
+        self.loop.selector.register(job_manager.log, READ, lambda mask: job_manager.settle())
         self.keep_news()
 
     def keep_news(self) -> None:
         """From here on call-backs wait until the ledger's jobs have been taken up."""
-        if self.workers.early is None:
-            self.workers.early = []
+        if self.workers.deferred_callbacks is None:
+            self.workers.deferred_callbacks = []
 
-    def keep_early(self, news: dict[str, Any], reply: Callable[[int], None]) -> bool:
+    def defer_callback(self, news: dict[str, Any], reply: Callable[[int], None]) -> bool:
         """Keep a call-back that comes before the ledger is ours; whether it was kept."""
-        return self.workers.keep_early(news, reply)
+        return self.workers.defer_callback(news, reply)
 
-    def offered(self) -> None:
+    def on_ledger_released(self) -> None:
         """Its owner has given it up to us, or has gone."""
-        self.given_up = False
-        if self.keeper is None:
+        self.released = False
+        if self.job_manager is None:
             self.keep_news()
             self.ask_at = self.loop.clock.now()
 
@@ -86,7 +88,7 @@
         """Once a turn of the loop; whether nothing is left to be done about it."""
         if self.loop.clock.now() >= self.ask_at:
             self._ask()
-        if self.keeper is not None and not self.keeper.recovered:
+        if self.job_manager is not None and not self.job_manager.recovered:
             self._recover()
             return False
         return math.isinf(self.ask_at)
@@ -99,78 +101,83 @@
             self.warn(f"durable jobs are turned down: durable.directory {self.options.folder}: {error}")
             self.ask_at = self.loop.clock.now() + ASK_AFTER_FAILURE
             return
-        if self.keeper is not None:
+        if self.job_manager is not None:
             self.say("the ledger of durable jobs is ours")
 
     def _recover(self) -> None:
         """Take the ledger's open jobs up, once the workers are known or have been waited for long enough."""
-        keeper, now = self.keeper, self.loop.clock.now()
-        if keeper is None or not (self.core.listed or now > self.begun_at + LIST_WITHIN):
+        job_manager, now = self.job_manager, self.loop.clock.now()
+        if job_manager is None or not (self.core.listed or now > self.begun_at + LIST_WITHIN):
             return
-        done = recover(keeper, self.core, self.workers)
+        done = recover(job_manager, self.core, self.workers)
         if any(done.values()):
             self.say("recovered jobs: " + ", ".join(f"{n} {step.value}" for step, n in done.items()))
-        self.workers.take_early()
+        self.workers.process_deferred_callbacks()
         waiting, self.waiting = self.waiting, []
         for request, edge in waiting:
             self._join(request, edge)
 
     # -- clients that come with it
 
-    def wait_for(self, request: Request, edge: EdgeConnection) -> None:
+    def attach_client(self, request: Request, edge: ClientConnection) -> None:
         """A client of its last owner waits for this job here from now on."""
-        edge.hold(request)
-        edge.front.may_hold(edge)
-        if self.keeper is not None and self.keeper.recovered:
+        edge.set_request(request)
+        edge.front.account_memory(edge)
+        if self.job_manager is not None and self.job_manager.recovered:
             self._join(request, edge)
         else:
             self.waiting.append((request, edge))
             self.core.deadlines.set(request.deadline, lambda: self._overdue(request, edge))
 
-    def _overdue(self, request: Request, edge: EdgeConnection) -> None:
+    def _overdue(self, request: Request, edge: ClientConnection) -> None:
         if (request, edge) in self.waiting:
             self.waiting.remove((request, edge))
             edge.answer(request, FAILED)
 
-    def _join(self, request: Request, edge: EdgeConnection) -> None:
+    def _join(self, request: Request, edge: ClientConnection) -> None:
         """By its name, as one who asks again."""
         if request.ended:
             return  # it has left
-        edge.hold(None)
+        edge.set_request(None)
         try:
             joined = self.core.submit(request, edge)
-        except OtherJob:  # its own has been forgotten, and another has the name
+        except JobMismatchError:  # its own has been forgotten, and another has the name
             edge.answer(request, FAILED)
             return
         if not joined.ended:
-            edge.hold(joined)
-            edge.front.may_hold(edge)
+            edge.set_request(joined)
+            edge.front.account_memory(edge)
 
     # -- giving it up
 
-    def give(self) -> list[tuple[Waits, EdgeConnection]] | None:
+    def release(self) -> list[tuple[WaitingClient, ClientConnection]] | None:
         """Give it up, where all its jobs can go on without this process: their workers have taken them and
         will tell whoever has the address, their clients' connections can go, and nothing is on its way to the
         disk. Returns those who wait for its jobs, for the next owner; None where it has to stay for now."""
         self.core.decide()  # what has come in for them must not be lost
-        keeper = self.keeper
-        if keeper is None or not keeper.recovered or keeper.failed or not keeper.quiet():
+        job_manager = self.job_manager
+        if (
+            job_manager is None
+            or not job_manager.recovered
+            or job_manager.failed
+            or not job_manager.is_idle()
+        ):
             return None
         requests = [f for f in self.core.requests.all() if f.job and not f.ended]
         out = [s for f in requests for s in f.attempts if not s.ended]
         clients = [(f, w) for f in requests for w in f.waiters]
-        if not all(s.entry.link.may_move(s) for s in out):
+        if not all(s.endpoint.link.may_transfer(s) for s in out):
             return None
-        if not all(isinstance(w, EdgeConnection) and w.can_go(f) for f, w in clients):
+        if not all(isinstance(w, ClientConnection) and w.is_transferable(f) for f, w in clients):
             return None
         waiting = []
         for request in requests:
-            for waits, waiter in let_durable_go(self.core, request):
-                assert isinstance(waiter, EdgeConnection)
+            for waits, waiter in transfer_durable_request(self.core, request):
+                assert isinstance(waiter, ClientConnection)
                 waiting.append((waits, waiter))
-        self.loop.selector.unregister(keeper.log)
-        keeper.close()
-        self.keeper, self.core.keeper, self.given_up = None, Elsewhere(self.options), True
+        self.loop.selector.unregister(job_manager.log)
+        job_manager.close()
+        self.job_manager, self.core.job_manager, self.released = None, Elsewhere(self.options), True
         return waiting
 
     # -- the end
@@ -178,18 +185,18 @@
     @property
     def ready(self) -> bool:
         """Whether jobs that it holds have been taken up, where it is ours."""
-        return self.keeper is None or self.keeper.recovered
+        return self.job_manager is None or self.job_manager.recovered
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing of the ledger is under way."""
-        return not self.waiting and (self.keeper is None or self.keeper.quiet())
+        return not self.waiting and (self.job_manager is None or self.job_manager.is_idle())
 
     def push(self) -> None:
         """Write what has been appended since the last turn."""
-        if self.keeper is not None:
-            self.keeper.log.push()
+        if self.job_manager is not None:
+            self.job_manager.log.push()
 
     def close(self) -> None:
         """Give the ledger up."""
-        if self.keeper is not None:
-            self.keeper.close()
+        if self.job_manager is not None:
+            self.job_manager.close()
--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -153,13 +153,13 @@
         """Give a hint that has come to the decisions, and others what we have learned."""
         now = self.core.clock.now()
         if self.hint is not None and self.core.listed:
-            self.core.tell_learned(self.hint[1])
+            self.core.apply_learned(self.hint[1])
             self.hint = None
             self.host.counters.add("store.hints")
         if now < self.learn_at or self.busy or self.life.standing is not Standing.HELD:
             return
         self.learn_at = now + LEARN_EVERY
-        value = hints.pack(carried.of(self.core.module), now)
+        value = hints.pack(carried.collect(self.core.module), now)
         if value is not None:
             put = Put(f"{hints.PREFIX}{self.name}", value)
             self.submit(self.life.guarded(Transaction([put])), lambda answer: None)
--- a/eiderpin/jobs/elsewhere.py
+++ b/eiderpin/jobs/elsewhere.py
@@ -10,7 +10,7 @@
 
 
 class Elsewhere:
-    """Implements `core.durability.Keeper` for jobs that it never takes."""
+    """Implements `core.durability.DurableJobManager` for jobs that it never takes."""
 
     def __init__(self, options: Options) -> None:
         self.options = options
@@ -18,16 +18,16 @@
     def covers_class(self, cls: str) -> bool:
         return cls in self.options.classes
 
-    def kept(self, request: Request) -> Answer | None:
+    def stored_answer(self, request: Request) -> Answer | None:
         return None  # the owner knows, and a turn-down promises nothing
 
-    def tell_kept(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
+    def deliver_stored_answer(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
         tell(answer)
 
-    def take(self, request: Request) -> bool:
+    def accept(self, request: Request) -> bool:
         return False
 
-    def when_kept(self, request: Request, call: Callable[[bool], None]) -> None:
+    def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
         call(False)
 
     def lease(self, attempt: Attempt, send: Callable[[], None]) -> None:
@@ -42,5 +42,5 @@
     def end(self, request: Request, answer: Answer, told: bool, tell: Callable[[Answer], None]) -> None:
         tell(answer)
 
-    def late(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
+    def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
         return False
--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -11,7 +11,7 @@
 from eiderpin import interface as api
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.durability import OtherJob
+from eiderpin.core.durability import JobMismatchError
 from eiderpin.core.invariants import must
 from eiderpin.core.requests import Answer, Attempt, Request, Verdict
 from eiderpin.durable.files import Files
@@ -40,9 +40,9 @@
         return ""
 
 
-class JobKeeper:
-    """Implements `core.durability.Keeper`. Raises `Locked`, `BadFormat`, `Damaged`, `BrokenRule` and
-    `OSError` where the ledger cannot be read or owned."""
+class JobManager:
+    """Implements `core.durability.DurableJobManager`. Raises `Locked`, `BadFormat`, `Damaged`, `BrokenRule`
+    and `OSError` where the ledger cannot be read or owned."""
 
     def __init__(self, core: Dispatcher, options: Options, name: str, files: Files | None = None) -> None:
         self.core, self.options, self.name = core, options, name
@@ -151,7 +151,7 @@
         self.ledger.expire(self.now())
         self.core.deadlines.set(self.core.clock.now() + EXPIRE_EVERY, self.expire)
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nobody waits for the disk."""
         return not self._waits and not self._held
 
@@ -160,18 +160,18 @@
     def covers_class(self, cls: str) -> bool:
         return cls in self.options.classes
 
-    def kept(self, request: Request) -> Answer | None:
+    def stored_answer(self, request: Request) -> Answer | None:
         job = self.ledger.find(request.cls, request.unique) if request.unique else None
         if job is None or job.ended is None:
             return None
         if job.ended.at + self.options.keep <= self.now():
             return None
         if not asks_same(job.accepted, request.target, request.body):
-            raise OtherJob
+            raise JobMismatchError
         served = job.ended.verdict == Verdict.SERVED.value
         return Answer(Verdict.SERVED, job.ended.result) if served else Answer(Verdict.FAILED)
 
-    def take(self, request: Request) -> bool:
+    def accept(self, request: Request) -> bool:
         now = self.now()
         number = self.ledger.next_job()
         record = Accepted(
@@ -203,7 +203,7 @@
                 self._unwritten.add(number)
                 for call in self._waits.pop(number, ()):
                     call(False)
-                self.core.turn_down(request)
+                self.core.reject(request)
 
         self.put(record, told)
         request.job = number
@@ -227,16 +227,16 @@
 
         return told
 
-    def when_kept(self, request: Request, call: Callable[[bool], None]) -> None:
+    def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
         if request.job not in self._held and request.job not in self.behind:
             call(True)
         else:
             self._waits.setdefault(request.job, []).append(call)
 
     def lease(self, attempt: Attempt, send: Callable[[], None]) -> None:
-        request, entry = attempt.request, attempt.entry
-        link = "gearman" if entry.listed.shape == "gearman" else "http"
-        address = f"{entry.address[0]}:{entry.address[1]}" if link == "http" else ""
+        request, endpoint = attempt.request, attempt.endpoint
+        link = "gearman" if endpoint.listed.shape == "gearman" else "http"
+        address = f"{endpoint.address[0]}:{endpoint.address[1]}" if link == "http" else ""
 
         def told(ok: bool) -> None:
             held(ok)
@@ -249,7 +249,7 @@
                 self.core.ended(attempt, api.Outcome.NOT_SENT)
 
         try:
-            record = self.ledger.lease(request.job, attempt.number, entry.name, self.now(), link, address)
+            record = self.ledger.lease(request.job, attempt.number, endpoint.name, self.now(), link, address)
         except MayNotRun as error:
             must(False, f"the ledger allows what the decisions send: {error}")
             self.core.ended(attempt, api.Outcome.NOT_SENT)
@@ -275,7 +275,7 @@
             self.core.counters.add("ledger.leases_expired")
             log.warning(
                 "a worker has fallen silent: its lease is over",
-                extra={"job": attempt.request.wire_id, "worker": attempt.entry.name},
+                extra={"job": attempt.request.wire_id, "worker": attempt.endpoint.name},
             )
             attempt.may_have_run = True
             self.core.ended(attempt, api.Outcome.RESET)
@@ -308,7 +308,7 @@
             self.write_or_remember(record, request.job)
         self.tell_when_kept(request.job, request.deadline, answer, tell)
 
-    def tell_kept(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
+    def deliver_stored_answer(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
         job = self.ledger.find(request.cls, request.unique)
         if job is None or job.ended is None:
             tell(answer)
@@ -340,7 +340,7 @@
         guard = self.core.deadlines.set(at, lambda: once(Answer(Verdict.FAILED)))
         self._waits.setdefault(number, []).append(lambda ok: once(answer))
 
-    def late(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
+    def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
         job = self.ledger.by_wire(wire_id)
         if job is None or not any(x.leased.worker == worker for x in job.leases):
             return False
--- a/eiderpin/jobs/recovery.py
+++ b/eiderpin/jobs/recovery.py
@@ -4,14 +4,14 @@
 
 from eiderpin import interface as api
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.requests import Attempt, Request, ServiceEntry, Verdict, WorkerLink
+from eiderpin.core.requests import Attempt, Endpoint, Request, Verdict, WorkerLink
 from eiderpin.core.slot_table import TableFull
-from eiderpin.jobs.keeper import JobKeeper
+from eiderpin.jobs.keeper import JobManager
 from eiderpin.jobs.ledger import Job, Lease, Step
 from eiderpin.jobs.records import Ended, Released
 
 
-def recover(keeper: JobKeeper, core: Dispatcher, workers: WorkerLink) -> dict[Step, int]:
+def recover(keeper: JobManager, core: Dispatcher, workers: WorkerLink) -> dict[Step, int]:
     """To be called once, when the workers are known as far as they will be; `workers` is the link of those
     that are reached by HTTP. Returns how many jobs took each way."""
     now = keeper.now()
@@ -39,7 +39,7 @@
     return done
 
 
-def _bring_back(keeper: JobKeeper, core: Dispatcher, workers: WorkerLink, job: Job) -> None:
+def _bring_back(keeper: JobManager, core: Dispatcher, workers: WorkerLink, job: Job) -> None:
     a, now = job.accepted, core.clock.now()
     # A leased one whose deadline has passed may still be told of: its worker goes on trying for a while.
     soonest = now + keeper.options.silence if job.out else now
@@ -49,14 +49,14 @@
         idempotency_key=a.idempotency_key,
     )  # fmt: skip
     for lease in job.leases:
-        entry = _entry_of(core, workers, lease)
+        endpoint = _entry_of(core, workers, lease)
         while len(request.attempts) < lease.leased.attempt:  # made, and never leased
-            request.attempts.append(Attempt(request, len(request.attempts), entry, now, 0.0, ended=True))
+            request.attempts.append(Attempt(request, len(request.attempts), endpoint, now, 0.0, ended=True))
         request.attempts.append(
             Attempt(
                 request,
                 lease.leased.attempt,
-                entry,
+                endpoint,
                 now,
                 request.deadline - now,
                 lease.out,
@@ -75,18 +75,18 @@
     # Taken on, it is wanted until its deadline: the time that we were down must not make it hopeless.
     standing = api.Standing(
         request.deadline - now, request.hint or spec.aim, len(request.attempts),
-        [(s.number, 0.0, -1.0) for s in out], [s.entry.name for s in out], [],
+        [(s.number, 0.0, -1.0) for s in out], [s.endpoint.name for s in out], [],
     )  # fmt: skip
-    core.tell(api.Adopted(asked, standing))
+    core.add_event(api.Adopted(asked, standing))
     for attempt in out:
         keeper.watch(attempt)
 
 
-def _entry_of(core: Dispatcher, workers: WorkerLink, lease: Lease) -> ServiceEntry:
+def _entry_of(core: Dispatcher, workers: WorkerLink, lease: Lease) -> Endpoint:
     """The worker that holds the lease. One that is not listed (any more) gets nothing new, but may call
     back."""
     leased = lease.leased
-    known = core.entries.get(leased.worker)
+    known = core.endpoints.get(leased.worker)
     if known is not None and known.link is workers:
         return known
     host, _, port = leased.address.rpartition(":")
@@ -94,8 +94,8 @@
     address = (host, int(port)) if port.isdigit() else ("", 0)
     if not lease.out:
         # Its name may be another's by now: Gearman workers are numbered anew by each process.
-        return ServiceEntry(away, address, workers, core.clock.now())
+        return Endpoint(away, address, workers, core.clock.now())
     if known is not None:
         return known  # listed by another source under the same name
-    core.list_told(workers, api.ListKind.CHANGES, [(away, address)])
-    return core.entries[leased.worker]
+    core.apply_worker_list(workers, api.ListKind.CHANGES, [(away, address)])
+    return core.endpoints[leased.worker]
--- a/eiderpin/net/agent_check.py
+++ b/eiderpin/net/agent_check.py
@@ -16,14 +16,14 @@
         most: int,
         shared: bool = False,
     ) -> None:
-        self.readiness, self.most = readiness, most  # `most` callers at once
+        self.readiness, self.max_connections = readiness, most  # `most` callers at once
         self.open: list[Connection] = []
-        self.listener = Listener(loop, address, self.taken, on=not shared, shared=shared)
+        self.listener = Listener(loop, address, self.taken, accepting=not shared, shared=shared)
 
     def taken(self, conn: Connection) -> None:
         """Some balancers send a line of their own first; it is not needed, and not waited for."""
         self.open = [c for c in self.open if not c.closed]
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             conn.close()
             return
         self.open.append(conn)
--- a/eiderpin/net/discovery.py
+++ b/eiderpin/net/discovery.py
@@ -1,6 +1,6 @@
 """The watch on discovery's list.
 
-An event tells when calls begin to fail, and when the list is known again; `list_age` how old it is.
+An event tells when calls begin to fail, and when the list is known again; `list_age_ms` how old it is.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     """What came is no list of workers."""
 
 
-def address(text: Any) -> tuple[str, int]:
+def parse_address(text: Any) -> tuple[str, int]:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise BadList(f"{text!r} is no address")
@@ -70,7 +70,7 @@
             float(e.get("weight") or 1.0),
             float(e.get("startedAtMs") or 0) or None,
         )
-        entries.append((entry, address(e.get("hostPort"))))
+        entries.append((entry, parse_address(e.get("hostPort"))))
     generation = said.get("generation")
     return (generation if isinstance(generation, int) else 0), bool(said.get("reset")), entries
 
@@ -97,7 +97,7 @@
         self.reader = http.ResponseReader()
         self.limit: Deadline | None = None
         self.asked = False  # a call has begun
-        self.told = False  # discovery has answered us
+        self.has_answered = False  # discovery has answered us
         self.sure = False  # it has answered since the last failure
         self.began_at = loop.clock.now()
         self.answered_at: float | None = None  # when it last told what there is
@@ -109,13 +109,15 @@
             core.source = self
         if known:
             generation, _, entries = read_list(known)
-            core.list_told(link, api.ListKind.STORED, self.on_our_clock(entries), by_discovery=True)
+            core.apply_worker_list(
+                link, api.ListKind.STORED, self.with_local_start_times(entries), by_discovery=True
+            )
             if self.on_request:
                 self.generation = self.newest = generation
         if not known or not self.on_request:
             self.ask()
 
-    def move(self, where: tuple[str, int]) -> None:
+    def change_address(self, where: tuple[str, int]) -> None:
         """Watch at another address from now on. Its generations are its own, so the whole list is asked for;
         what the old one told holds until then."""
         if where == self.where:
@@ -130,7 +132,7 @@
         self.ask()
 
     @property
-    def list_age(self) -> float:
+    def list_age_ms(self) -> float:
         """ms since discovery last told what there is; since the process began, where it never did."""
         last = self.began_at if self.answered_at is None else self.answered_at
         return self.loop.clock.now() - last
@@ -140,14 +142,14 @@
         self.core.counters.add(f"in.discovery_{reason}")
         self.failures += 1
         if self.failures == 1:
-            fields = {"reason": reason, "generation": self.generation, "list_age_ms": round(self.list_age)}
+            fields = {"reason": reason, "generation": self.generation, "list_age_ms": round(self.list_age_ms)}
             logger.warning("discovery does not tell the list", extra=fields)
 
     def note_answer(self, generation: int) -> None:
         """The list is known to be up to date: an event after calls that failed."""
         if self.failures:
             fields = {"generation": generation, "failed_calls": self.failures,
-                      "list_age_ms": round(self.list_age)}  # fmt: skip
+                      "list_age_ms": round(self.list_age_ms)}  # fmt: skip
             logger.info("discovery tells the list", extra=fields)
         self.answered_at, self.failures = self.loop.clock.now(), 0
 
@@ -157,7 +159,7 @@
             self.ask()
 
     def ask(self) -> None:
-        self.wall.look()
+        self.wall.sample()
         target = b"/catalog/members"
         wait = 0.0
         if self.generation is not None:
@@ -187,7 +189,7 @@
     def ended(self) -> None:
         """It has closed, or the connection broke: after the last byte of an answer without a length, or
         before."""
-        last = self.reader.at_end()
+        last = self.reader.message_at_eof()
         if last is not None:
             self.take([last])
             return
@@ -202,7 +204,7 @@
             self.conn.close()
         self.conn = None
         if self.on_request:
-            self.core.list_told(self.link, api.ListKind.FAILED, (), by_discovery=True)
+            self.core.apply_worker_list(self.link, api.ListKind.FAILED, (), by_discovery=True)
             return
         self.limit = self.loop.deadlines.set(self.loop.clock.now() + pause, self.ask)
 
@@ -249,17 +251,19 @@
         self.note_answer(generation)
         self.generation = self.newest = generation
         self.older_since = None
-        self.told = self.sure = True
+        self.has_answered = self.sure = True
         if whole or entries or self.on_request:  # there an empty answer tells that the watch stands
             kind = api.ListKind.COMPLETE if whole else api.ListKind.CHANGES
-            self.core.list_told(self.link, kind, self.on_our_clock(entries), by_discovery=True)
+            self.core.apply_worker_list(
+                self.link, kind, self.with_local_start_times(entries), by_discovery=True
+            )
         self.loop.deadlines.drop(self.limit)
         if not message.keep_alive and self.conn is not None:
             self.conn.close()
             self.conn = None
         self.ask()
 
-    def on_our_clock(self, entries: Entries) -> Entries:
+    def with_local_start_times(self, entries: Entries) -> Entries:
         """The same entries, with the times of their workers' starts on the dispatcher's clock."""
         for entry, _ in entries:
             if entry.born is None or entry.state is api.WorkerState.GONE:
@@ -267,7 +271,7 @@
                 continue
             told, start = self.starts.get(entry.name, (0.0, 0.0))
             if told != entry.born:
-                told, start = entry.born, self.wall.steady(entry.born)
+                told, start = entry.born, self.wall.to_steady(entry.born)
                 self.starts[entry.name] = (told, start)
             entry.born = start
         return entries
--- a/eiderpin/net/edge.py
+++ b/eiderpin/net/edge.py
@@ -10,8 +10,8 @@
 from enum import IntEnum
 
 from eiderpin.core.deadlines import Deadline
-from eiderpin.core.dispatcher import Dispatcher, IdTaken
-from eiderpin.core.durability import OtherJob
+from eiderpin.core.dispatcher import Dispatcher, RequestIdInUseError
+from eiderpin.core.durability import JobMismatchError
 from eiderpin.core.requests import Answer, Request, Verdict
 from eiderpin.core.slot_table import SlotTable
 from eiderpin.net import arrival, http
@@ -35,15 +35,15 @@
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
-class Away(IntEnum):
+class DrainScope(IntEnum):
     """Whom the edge sends away: their answers carry `Connection: close`, and idle they are closed."""
 
-    NOBODY = 0
+    NONE = 0
     CLIENTS = 1
     ALL = 2  # those who bring call-backs, too
 
 
-class EdgeConnection:
+class ClientConnection:
     """The client's side of one connection; also workers call back over such a one."""
 
     __slots__ = (
@@ -51,7 +51,7 @@
         "held", "worked", "calls_back", "spare",
     )  # fmt: skip
 
-    def __init__(self, front: Edge, conn: Connection) -> None:
+    def __init__(self, front: HttpFront, conn: Connection) -> None:
         self.front = front
         self.conn = conn
         self.number = -1
@@ -95,7 +95,7 @@
 
     @property
     def sent_away(self) -> bool:
-        return self.front.away > (Away.CLIENTS if self.calls_back else Away.NOBODY)
+        return self.front.away > (DrainScope.CLIENTS if self.calls_back else DrainScope.NONE)
 
     def set_limit(self) -> None:
         deadlines = self.front.loop.deadlines
@@ -127,13 +127,13 @@
     def data(self, data: bytes) -> None:
         self.last = self.front.loop.clock.now()
         self.take_in(data)
-        self.conn.queued = 0.0
+        self.conn.backlog_wait_ms = 0.0
         self.file()
 
     def came_at(self) -> float:
         """When what has just been read had come: maybe while the connection still waited to be accepted."""
         age = arrival.data_age(self.conn.sock)
-        return self.last - (self.conn.queued if age is None else age)
+        return self.last - (self.conn.backlog_wait_ms if age is None else age)
 
     def take_in(self, data: bytes) -> None:
         try:
@@ -150,7 +150,7 @@
             self.drop_limit()
         elif came or self.limit is None:
             self.set_limit()
-        if not self.front.may_hold(self):
+        if not self.front.account_memory(self):
             self.front.counters.add("in.over_memory")
             self.refuse_more()
             return
@@ -171,7 +171,7 @@
 
     def reply(self, status: int, body: bytes = b"", headers: tuple[str, ...] = ()) -> None:
         self.busy, self.served = False, True
-        self.hold(None)
+        self.set_request(None)
         if self.conn.closed or self.conn.closing:
             return
         self.last = self.front.loop.clock.now()
@@ -183,18 +183,18 @@
         if not keep:
             self.close()
             return
-        self.front.may_hold(self)
+        self.front.account_memory(self)
         if self.waiting:
             self.next()
         self.file()
 
-    def hold(self, request: Request | None) -> None:
+    def set_request(self, request: Request | None) -> None:
         """It waits for this request's answer; None: for none."""
         self.front.jobs += (request is not None) - (self.request is not None)
         self.request = request
-        self.conn.waited = request is not None
+        self.conn.peer_is_waiting = request is not None
 
-    def can_go(self, request: Request) -> bool:
+    def is_transferable(self, request: Request) -> bool:
         """Whether it waits for this request, and nothing else has come or is going out here."""
         if self.request is not request or self.conn.closing:
             return False
@@ -207,21 +207,21 @@
         self.waiting.clear()
         self.keep = False
         if not self.busy:
-            self.turn_down(self.front.class_of(target))
+            self.reject(self.front.class_of(target))
 
-    def turn_down(self, cls: str) -> None:
+    def reject(self, cls: str) -> None:
         """There is no room: what has been sent of a job is refused before anything is sent on for it."""
         if cls in self.front.core.classes:
-            self.front.core.count_answer(cls, Verdict.TURNED_DOWN)
+            self.front.core.count_answer(cls, Verdict.REJECTED)
         self.keep, self.busy = False, True
-        self.answer(NO_REQUEST, self.front.core.turned_down(math.inf))
+        self.answer(NO_REQUEST, self.front.core.rejection(math.inf))
 
     # what a request calls
 
     def answer(self, request: Request, answer: Answer) -> None:
         if answer.verdict is Verdict.SERVED:
             self.reply(200, answer.result)
-        elif answer.verdict is Verdict.TURNED_DOWN:
+        elif answer.verdict is Verdict.REJECTED:
             wait = () if answer.wait is None else (f"Retry-After: {answer.wait / 1000:.3f}",)
             self.reply(503, b"turned down\n", wait)
         else:
@@ -230,7 +230,7 @@
     def progress(self, request: Request, share: float) -> None:
         """Clients of this front hear only the end."""
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None:
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None:
         """Partial data has no place in an HTTP answer."""
 
     def has_left(self) -> bool:
@@ -240,8 +240,8 @@
 
     def leave(self) -> None:
         request = self.request
-        self.hold(None)
-        if request is not None and request.once:
+        self.set_request(None)
+        if request is not None and request.single_use_id:
             self.front.core.leave(request, self)
         elif request is not None:
             self.front.core.detach(request, self)
@@ -263,7 +263,7 @@
         self.front.forget(self)
 
 
-class Edge:
+class HttpFront:
     """The listener of clients and call-backs."""
 
     def __init__(
@@ -276,39 +276,42 @@
         most: int,
         extra: int,
         memory: int,
-        on: bool = True,
+        accepting: bool = True,
     ) -> None:
         self.loop, self.core, self.counters = loop, core, core.counters
         self.news, self.ready = news, ready
-        self.most = most  # jobs that may be waited for
-        self.extra = extra  # connections past those, for call-backs and for those who say nothing
-        self.memory, self.held = memory, 0  # bytes of requests that may be held, and are
+        self.max_connections = most  # jobs that may be waited for
+        self.extra_connections = extra  # connections past those, for call-backs and for those who say nothing
+        self.max_held_bytes, self.held = memory, 0  # bytes of requests that may be held, and are
         self.jobs = 0  # connections that wait for a request's answer
-        self.room: Room[EdgeConnection] = Room()
-        self.away = Away.NOBODY
+        self.room: Room[ClientConnection] = Room()
+        self.away = DrainScope.NONE
         self.away_at = math.inf  # when the first look for idle connections is, or was
         self.away_look: Deadline | None = None
-        self.connections: SlotTable[EdgeConnection] = SlotTable()
-        self.listener = Listener(loop, where, self.taken, self.make_room, on)
+        self.connections: SlotTable[ClientConnection] = SlotTable()
+        self.listener = Listener(loop, where, self.taken, self.make_room, accepting)
         loop.deadlines.set(loop.clock.now() + SWEEP, self.sweep)
 
     def taken(self, conn: Connection) -> None:
         self.counters.add("in.edge_connections")
-        edge = EdgeConnection(self, conn)
+        edge = ClientConnection(self, conn)
         edge.number = self.connections.add(edge)
-        if len(self.connections) >= self.most + self.extra // 2:
+        if len(self.connections) >= self.max_connections + self.extra_connections // 2:
             self.make_room()
-        if len(self.connections) >= self.most + self.extra:
+        if len(self.connections) >= self.max_connections + self.extra_connections:
             # More would take descriptors that the workers' side needs; these wait in the backlog.
-            self.listener.rest()
+            self.listener.suspend()
 
     def make_room(self) -> bool:
         """Close those who can best be spared, no more than needed; a kept-alive one only at the very limit.
         Returns whether there is room now."""
         now = self.loop.clock.now()
-        while len(self.connections) >= self.most + self.extra // 2:
+        while len(self.connections) >= self.max_connections + self.extra_connections // 2:
             edge = self.room.next(now)
-            if edge is None or (edge.spare is Spare.KEPT and len(self.connections) < self.most + self.extra):
+            if edge is None or (
+                edge.spare is Spare.KEPT
+                and len(self.connections) < self.max_connections + self.extra_connections
+            ):
                 break
             if not edge.conn.closing and edge.conn.has_input():
                 edge.last = now  # it is about to be read
@@ -316,35 +319,35 @@
                 continue
             self.counters.add("in.made_room")
             edge.conn.close()
-        return len(self.connections) < self.most + self.extra
+        return len(self.connections) < self.max_connections + self.extra_connections
 
-    def movable(self, request: Request) -> EdgeConnection | None:
+    def transferable_connection(self, request: Request) -> ClientConnection | None:
         """The connection that waits for this request, where it can go to another process with it."""
         edge = request.waiters[0] if len(request.waiters) == 1 else None
-        return edge if isinstance(edge, EdgeConnection) and edge.can_go(request) else None
+        return edge if isinstance(edge, ClientConnection) and edge.is_transferable(request) else None
 
-    def adopt(self, sock: socket.socket) -> EdgeConnection:
+    def adopt(self, sock: socket.socket) -> ClientConnection:
         """A client's connection from another process; its request is on its way."""
-        edge = EdgeConnection(self, Connection(self.loop, sock, False))
+        edge = ClientConnection(self, Connection(self.loop, sock, False))
         edge.number = self.connections.add(edge)
         edge.drop_limit()
         edge.busy = edge.served = edge.worked = True
         edge.file()
         return edge
 
-    def forget(self, edge: EdgeConnection) -> None:
+    def forget(self, edge: ClientConnection) -> None:
         self.connections.remove(edge.number)
         self.held -= edge.held
         edge.held = 0
 
-    def may_hold(self, edge: EdgeConnection) -> bool:
+    def account_memory(self, edge: ClientConnection) -> bool:
         """Count what a connection holds of requests; whether all may hold as much together."""
         body = edge.request.size if edge.request is not None else 0
         held = edge.reader.held + body + sum(len(m.body) for m in edge.waiting)
         grown = held > edge.held
         self.held += held - edge.held
         edge.held = held
-        return not grown or self.held <= self.memory
+        return not grown or self.held <= self.max_held_bytes
 
     def sweep(self) -> None:
         now = self.loop.clock.now()
@@ -356,13 +359,13 @@
                 edge.close()
         self.loop.deadlines.set(now + SWEEP, self.sweep)
 
-    def send_away(self, whom: Away, after: float) -> None:
+    def drain_connections(self, whom: DrainScope, after: float) -> None:
         """Stop keep-alive with these, and from `after` ms on close the idle ones. The listener stays, for
         call-backs and for what the front still sends."""
         if whom is self.away:
             return
         self.away = whom
-        if whom is Away.NOBODY:
+        if whom is DrainScope.NONE:
             self.loop.deadlines.drop(self.away_look)
             self.away_at = math.inf
         else:
@@ -374,7 +377,7 @@
         `at_once`: those whose first request is on its way, too."""
         now = self.loop.clock.now()
         self.loop.deadlines.drop(self.away_look)
-        refuses = self.away is Away.CLIENTS and now >= self.away_at + HALF_SENT
+        refuses = self.away is DrainScope.CLIENTS and now >= self.away_at + HALF_SENT
         if now >= self.away_at:
             for edge in self.connections.all():
                 if not edge.sent_away or edge.conn.closing or edge.conn.has_input():
@@ -386,18 +389,18 @@
                     edge.refuse_more()
         self.away_look = self.loop.deadlines.set(max(now + AWAY_EVERY, self.away_at), self.look_for_idle)
 
-    def part(self, at_once: bool) -> bool:
+    def close_remaining(self, at_once: bool) -> bool:
         """All is answered, and we want to end: whether those who are still connected have been sent off. What
         of theirs lies unread comes first, and what it leads to needs the listener, for call-backs. `at_once`:
         nothing is taken any more, so that nobody is waited for."""
-        if at_once and self.listener.on:
+        if at_once and self.listener.accepting:
             self.listener.ready(READ)  # who has come by now is told so
         self.look_for_idle(at_once)
         for edge in self.connections.all():
             if edge.spare is Spare.HALF and not edge.conn.has_input():
                 edge.refuse_more()
         if at_once or all(edge.conn.closing for edge in self.connections.all()):
-            self.listener.pause()
+            self.listener.stop()
         return not len(self.connections)
 
     def answer_all(self) -> int:
@@ -411,7 +414,7 @@
                 edge.reply(503)
         return len(busy)
 
-    def quiet(self, halves: bool) -> bool:
+    def is_idle(self, halves: bool) -> bool:
         """Whether nobody is owed anything here; with `halves`, nor is a request still on its way."""
         return not any(
             (e.busy or e.waiting or e.conn.unsent or (halves and not e.reader.idle and not e.conn.closing))
@@ -421,7 +424,7 @@
 
     # -- requests
 
-    def serve(self, edge: EdgeConnection, message: http.Message) -> None:
+    def serve(self, edge: ClientConnection, message: http.Message) -> None:
         path, first = message.path, self.class_of(message.target)
         if path == "/_health":
             if message.method not in ("GET", "HEAD"):
@@ -450,31 +453,31 @@
         parts = target.split(b"?", 1)[0].decode("latin-1").split("/", 2)
         return parts[1] if len(parts) > 1 and not parts[0] else ""
 
-    def take(self, edge: EdgeConnection, cls: str, message: http.Message) -> None:
+    def take(self, edge: ClientConnection, cls: str, message: http.Message) -> None:
         try:
             default = self.core.classes[cls].deadline
             request = make_request(cls, message, message.came_at, default, self.core.is_durable(cls))
-            if self.jobs >= self.most:
+            if self.jobs >= self.max_connections:
                 self.counters.add("in.over_connections")
-                edge.turn_down(cls)
+                edge.reject(cls)
                 return
             joined = self.core.submit(request, edge)
         except ValueError as error:
             self.counters.add("in.bad.400")
             edge.reply(400, f"{error}\n".encode())
             return
-        except IdTaken:
+        except RequestIdInUseError:
             self.counters.add("in.bad.409")
             edge.reply(409, b"this Req-Id is another request's\n")
             return
-        except OtherJob:
+        except JobMismatchError:
             self.counters.add("in.bad.422")
             edge.reply(422, b"this Idempotency-Key is that of a job that asked for something else\n")
             return
         edge.worked, edge.calls_back = True, False
         if edge.busy and not joined.ended:
-            edge.hold(joined)
-            self.may_hold(edge)
+            edge.set_request(joined)
+            self.account_memory(edge)
 
 
 def _ignore(data: bytes) -> None:
@@ -539,6 +542,6 @@
         key=h.get("req-key"),
         hint=hint / 1000.0 if hint else None,
         client_retry=h.get("req-retry") == "1",
-        once=named is None,
+        single_use_id=named is None,
         idempotency_key=h.get("idempotency-key"),
     )
--- a/eiderpin/net/gearman_front.py
+++ b/eiderpin/net/gearman_front.py
@@ -20,8 +20,8 @@
 from eiderpin import interface as api
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.durability import OtherJob
-from eiderpin.core.requests import Answer, Attempt, Request, ServiceEntry, Verdict
+from eiderpin.core.durability import JobMismatchError
+from eiderpin.core.requests import Answer, Attempt, Endpoint, Request, Verdict
 from eiderpin.core.slot_table import SlotTable
 from eiderpin.net.gearman import Kind, Line, Packet, Reader, pack
 from eiderpin.net.loop import Connection, Listener, Loop
@@ -70,7 +70,7 @@
         if answer.verdict is Verdict.SERVED:
             self.client.put(Kind.WORK_COMPLETE, self.handle, answer.result)
             return
-        if answer.verdict is Verdict.TURNED_DOWN and self.client.wants_exceptions:
+        if answer.verdict is Verdict.REJECTED and self.client.wants_exceptions:
             wait = "" if answer.wait is None else f", come back after {answer.wait / 1000:.3f} s"
             self.client.put(Kind.WORK_EXCEPTION, self.handle, f"turned down{wait}".encode())
         self.client.put(Kind.WORK_FAIL, self.handle)
@@ -79,7 +79,7 @@
         if self.handle:
             self.client.put(Kind.WORK_STATUS, self.handle, b"%d" % round(share * 100), b"100")
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None:
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None:
         if self.handle:
             self.client.put(Kind.WORK_WARNING if warning else Kind.WORK_DATA, self.handle, data)
 
@@ -101,7 +101,7 @@
         self.unsaid: deque[list[Any]] = deque()  # answers to submissions, with whether they may be given
         # as a worker
         self.abilities: dict[str, float] = {}  # function to its time-out in ms, 0: none
-        self.entry: ServiceEntry | None = None
+        self.endpoint: Endpoint | None = None
         self.asleep = False
         self.placed: deque[Attempt] = deque()
         self.running: dict[bytes, Attempt] = {}
@@ -146,10 +146,10 @@
             self.drop_wait(attempt)
             self.core.ended(attempt, api.Outcome.RESET)
         self.running.clear()
-        if self.entry is not None:
+        if self.endpoint is not None:
             self.tell(api.WorkerState.GONE)
-            del self.core.entries[self.entry.name]  # it never comes back by that name
-            self.entry = None
+            del self.core.endpoints[self.endpoint.name]  # it never comes back by that name
+            self.endpoint = None
         self.front.connections.remove(self.number)
 
     def packet(self, packet: Packet) -> None:
@@ -216,15 +216,17 @@
         submission = Submission(self)
         try:
             joined = self.core.submit(request, None if background else submission)
-        except OtherJob:
+        except JobMismatchError:
             self.error("OTHER_JOB", f"the unique id {name!r} is that of a job that asked for something else")
             return
         handle = self.front.handle_of(joined)
         if not background:
             self.say_in_turn(lambda: submission.created(joined, handle))
-        elif joined.job and self.core.keeper is not None:
+        elif joined.job and self.core.job_manager is not None:
             # That a job has been taken on is said once it outlives us.
-            self.core.keeper.when_kept(joined, self.say_later(lambda: self.put(Kind.JOB_CREATED, handle)))
+            self.core.job_manager.when_durable(
+                joined, self.say_later(lambda: self.put(Kind.JOB_CREATED, handle))
+            )
         elif self.core.is_durable(cls) and not joined.job and request is joined:
             self.say_in_turn(self.not_taken)
         else:
@@ -281,7 +283,7 @@
             self.placed.remove(attempt)
             self.drop_wait(attempt)
             self.core.ended(attempt, api.Outcome.NOT_SENT)
-        if self.entry is not None:
+        if self.endpoint is not None:
             serves = any(f in self.core.classes for f in self.abilities)
             self.tell(api.WorkerState.IN_SERVICE if serves else api.WorkerState.DRAINING)
 
@@ -289,13 +291,13 @@
         """Tell the core of this worker as it now stands."""
         now = self.core.clock.now()
         classes = frozenset(f for f in self.abilities if f in self.core.classes)
-        name = self.entry.name if self.entry is not None else f"gearman-{self.front.next_worker()}"
-        born = self.entry.listed.born if self.entry is not None else now
+        name = self.endpoint.name if self.endpoint is not None else f"gearman-{self.front.next_worker()}"
+        born = self.endpoint.listed.born if self.endpoint is not None else now
         listed = api.WorkerEntry(
             name, self.core.settings.zone, "gearman", -1, state, born=born, classes=classes, slots=1.0
         )
-        self.core.list_told(self.front, api.ListKind.CHANGES, [(listed, self)])
-        self.entry = self.core.entries[name]
+        self.core.apply_worker_list(self.front, api.ListKind.CHANGES, [(listed, self)])
+        self.endpoint = self.core.endpoints[name]
 
     def place(self, attempt: Attempt) -> None:
         if len(self.placed) + len(self.running) >= MOST_PLACED:
@@ -376,7 +378,7 @@
             if args[1].isdigit() and args[2].isdigit() and int(args[2]) > 0:
                 self.core.progress(attempt, False, min(int(args[1]) / int(args[2]), 1.0))
         else:
-            self.core.data_part(attempt, args[1], kind is Kind.WORK_WARNING)
+            self.core.forward_data(attempt, args[1], kind is Kind.WORK_WARNING)
 
     def drop_wait(self, attempt: Attempt) -> None:
         self.core.deadlines.drop(self.waits.pop(attempt, None))
@@ -390,23 +392,23 @@
         shared: bool = False,
     ) -> None:  # fmt: skip
         self.loop, self.core, self.name = loop, core, name
-        self.most = most
+        self.max_connections = most
         self.connections: SlotTable[GearmanConnection] = SlotTable()
         self._workers = 0
         self._away: Deadline | None = None  # the next look for idle clients, while they are sent away
         self._kept = 0
-        self.listener = Listener(loop, address, self.taken, on=not shared, shared=shared)
+        self.listener = Listener(loop, address, self.taken, accepting=not shared, shared=shared)
 
     def taken(self, conn: Connection) -> None:
         self.core.counters.add("in.gearman_connections")
-        if len(self.connections) >= self.most:
+        if len(self.connections) >= self.max_connections:
             conn.close()
-            self.listener.rest()
+            self.listener.suspend()
             return
         connection = GearmanConnection(self, conn)
         connection.number = self.connections.add(connection)
 
-    def send_away(self, away: bool, after: float) -> None:
+    def drain_connections(self, away: bool, after: float) -> None:
         """Whether idle clients are closed, `after` ms from now and again and again. Workers stay, and so do
         clients whose jobs are under way: the protocol has no word for them."""
         if not away:
@@ -418,7 +420,7 @@
     def look_for_idle(self) -> None:
         now = self.loop.clock.now()
         for c in self.connections.all():
-            works = c.entry is not None or c.abilities or c.running
+            works = c.endpoint is not None or c.abilities or c.running
             idle = not works and not c.open and not c.conn.unsent and now - c.last > QUIET
             if idle and not c.conn.has_input():
                 c.end()
@@ -439,7 +441,7 @@
     # -- what the core asks of a worker link
 
     def send(self, attempt: Attempt) -> None:
-        connection = attempt.entry.address
+        connection = attempt.endpoint.address
         if isinstance(connection, GearmanConnection) and not connection.conn.closed:
             connection.place(attempt)
         else:
@@ -447,20 +449,20 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """What was not grabbed is taken back; a worker that runs a job cannot be told to stop."""
-        connection = attempt.entry.address
+        connection = attempt.endpoint.address
         if isinstance(connection, GearmanConnection) and attempt in connection.placed:
             connection.placed.remove(attempt)
             connection.drop_wait(attempt)
 
-    def probe(self, entry: ServiceEntry) -> None:
-        connection = entry.address
+    def probe(self, endpoint: Endpoint) -> None:
+        connection = endpoint.address
         up = isinstance(connection, GearmanConnection) and not connection.conn.closed
-        self.core.probed(entry, up, 0.0)
+        self.core.probed(endpoint, up, 0.0)
 
-    def entry_changed(self, entry: ServiceEntry) -> None:
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
         """Nothing to do: the connection itself is the entry."""
 
-    def may_move(self, attempt: Attempt) -> bool:
+    def may_transfer(self, attempt: Attempt) -> bool:
         """Its end comes on this worker's connection, and nowhere else."""
         return False
 
@@ -505,7 +507,7 @@
         for cls in self.core.classes:
             of_class = [f for f in requests if f.cls == cls]
             running = sum(any(s.accepted and not s.ended for s in f.attempts) for f in of_class)
-            able = [e for e in self.core.entries.values() if e.in_service]
+            able = [e for e in self.core.endpoints.values() if e.in_service]
             workers = sum(e.listed.classes is None or cls in e.listed.classes for e in able)
             lines.append(f"{cls}\t{len(of_class)}\t{running}\t{workers}\n")
         return lines
--- a/eiderpin/net/handover.py
+++ b/eiderpin/net/handover.py
@@ -34,9 +34,9 @@
 from eiderpin.core import learned as carried
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.moves import Moved, Waits, adopt, asked_by, hand_out
+from eiderpin.core.moves import TransferredRequest, WaitingClient, adopt, rebuild_request, transfer_request
 from eiderpin.core.requests import Request
-from eiderpin.net.edge import Edge, EdgeConnection
+from eiderpin.net.edge import ClientConnection, HttpFront
 from eiderpin.net.loop import Connection, Listener, Loop
 
 HELLO_WITHIN = 1000.0  # ms; who is silent longer at first is no process of ours
@@ -57,9 +57,9 @@
 class Link:
     """One connection to the process beside us."""
 
-    def __init__(self, handover: Handover, conn: Connection, older: bool) -> None:
+    def __init__(self, handover: Handover, conn: Connection, predecessor: bool) -> None:
         self.handover, self.conn, self.loop = handover, conn, handover.loop
-        self.older = older  # the other end is the older process
+        self.predecessor = predecessor  # the other end is the older process
         self.greeted = False
         self.serving = False  # the newer one there accepts clients
         self.published: Identity | None = None  # the file of the newer one's socket
@@ -70,7 +70,9 @@
         self.last_told: dict[str, Any] = {}
         self.told_at = 0.0
         self.asked: dict[int, tuple[Reply, Deadline]] = {}
-        self.given: dict[int, tuple[Moved | Waits, socket.socket]] = {}  # not known to have been adopted
+        self.pending_transfers: dict[
+            int, tuple[TransferredRequest | WaitingClient, socket.socket]
+        ] = {}  # not known to have been adopted
         self.came: deque[int] = deque()  # descriptors that have come, and wait for their line
         self.limit = self.loop.deadlines.set(self.loop.clock.now() + HELLO_WITHIN, self.end)
         self.look: Deadline | None = None
@@ -133,15 +135,15 @@
                 raise ValueError("what is held is no less than nothing")
             self.sockets, self.readiness = int(state["sockets"]), str(state["readiness"])
             self.held = holds
-            self.handover.core.tell(api.Beside(holds))
+            self.handover.core.add_event(api.Beside(holds))
             self.handover.changed()
         elif "learned" in said:
-            self.handover.core.tell_learned(carried.check(said["learned"]))
+            self.handover.core.apply_learned(carried.parse(said["learned"]))
         elif "serving" in said:
             self.serving = True
             published = said.get("published")
             self.published = _identity_from(published) if published is not None else None
-            self.put({"learned": carried.of(self.handover.core.module)})
+            self.put({"learned": carried.collect(self.handover.core.module)})
             self.handover.changed()
         elif "news" in said:
             ask = int(said["ask"])
@@ -152,13 +154,13 @@
             self.put({"adopted" if done else "refused": int(said["ask"])})
         elif "ledger" in said:
             if self.handover.ledger is not None:
-                self.handover.ledger.offered()
+                self.handover.ledger.on_ledger_released()
         elif "waits" in said:
             sock = socket.socket(fileno=self.came.popleft())
             done = self.handover.take_waiting(said["waits"], sock)
             self.put({"adopted" if done else "refused": int(said["ask"])})
         elif "adopted" in said:
-            self.given.pop(int(said["adopted"]))[1].close()
+            self.pending_transfers.pop(int(said["adopted"]))[1].close()
         elif "refused" in said:
             self.take_back(int(said["refused"]))
         elif "told" in said:
@@ -170,8 +172,8 @@
             raise ValueError("no such message")
 
     def take_back(self, number: int) -> None:
-        moved, sock = self.given.pop(number)
-        if isinstance(moved, Waits):
+        moved, sock = self.pending_transfers.pop(number)
+        if isinstance(moved, WaitingClient):
             self.handover.take_waiting(asdict(moved), sock)
             return
         self.handover.stay.add(moved.wire_id)
@@ -194,7 +196,7 @@
         if state != self.last_told or now > self.told_at + BEAT:
             self.last_told, self.told_at = state, now
             self.put({"state": state})
-        if self is self.handover.newer:
+        if self is self.handover.successor:
             self.handover.give()
         self.look = self.loop.deadlines.set(now + TELL_EVERY, self.tell)
 
@@ -202,7 +204,7 @@
         self.loop.deadlines.drop(self.limit)
         self.loop.deadlines.drop(self.look)
         self.conn.close()
-        for number in list(self.given):
+        for number in list(self.pending_transfers):
             self.take_back(number)
         while self.came:
             os.close(self.came.popleft())
@@ -216,22 +218,22 @@
 class LedgerSide(Protocol):
     """The ledger of durable jobs, as it changes hands."""
 
-    def offered(self) -> None:
+    def on_ledger_released(self) -> None:
         """Its owner has given it up to us, or has gone."""
         ...
 
-    def give(self) -> list[tuple[Waits, EdgeConnection]] | None:
+    def release(self) -> list[tuple[WaitingClient, ClientConnection]] | None:
         """Give it up; None: not now."""
         ...
 
-    def wait_for(self, request: Request, edge: EdgeConnection) -> None: ...
+    def attach_client(self, request: Request, edge: ClientConnection) -> None: ...
 
-    def keep_early(self, news: dict[str, Any], reply: Reply) -> bool:
+    def defer_callback(self, news: dict[str, Any], reply: Reply) -> bool:
         """Whether this call-back waits until its jobs have been taken up."""
         ...
 
     @property
-    def given_up(self) -> bool:
+    def released(self) -> bool:
         """Whether we had it, and the process beside us has it or is about to."""
         ...
 
@@ -240,7 +242,8 @@
     """Knows the process that came before us and the one that comes after."""
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, edge: Edge, path: str, taken: Callable[[dict[str, Any]], bool],
+        self, loop: Loop, core: Dispatcher, edge: HttpFront, path: str,
+        taken: Callable[[dict[str, Any]], bool],
         state: Callable[[], dict[str, Any]], changed: Callable[[], None], gives: Callable[[], bool],
     ) -> None:  # fmt: skip
         self.loop, self.core, self.edge, self.path = loop, core, edge, path
@@ -248,44 +251,46 @@
         self.stay: set[str] = set()  # jobs that could not go
         self.taken = taken  # whether a call-back is of an id that we know
         self.state, self.changed = state, changed
-        self.older: Link | None = None
-        self.newer: Link | None = None
+        self.predecessor: Link | None = None
+        self.successor: Link | None = None
         self.strangers: list[Link] = []
         self.asks = 0
         self.ledger: LedgerSide | None = None  # where durable jobs are kept
-        self.unsent: list[tuple[Waits, EdgeConnection]] = []  # whose sockets had no room on the link yet
+        self.unsent: list[
+            tuple[WaitingClient, ClientConnection]
+        ] = []  # whose sockets had no room on the link yet
         self.listener: Listener | None = None
         self.published: Identity | None = None  # the file of our own socket
         self.looks_left = LOOKS
-        self.again: Deadline | None = None  # when a predecessor is looked for once more
+        self.lookup_retry: Deadline | None = None  # when a predecessor is looked for once more
         self.find()
 
     def find(self) -> None:
         """Look for our predecessor. A file behind which nobody answers may be of one that was killed, or of a
         dying one whose place another is about to take: that other is worth a few looks."""
-        self.again = None
+        self.lookup_retry = None
         conn = self.loop.connect(_short(self.path))
         if conn is not None:
-            self.older = Link(self, conn, older=True)
+            self.predecessor = Link(self, conn, predecessor=True)
         elif _identity(self.path) is not None:
             self.find_again()
 
     def find_again(self) -> None:
         self.looks_left -= 1
         if self.looks_left > 0:
-            self.again = self.loop.deadlines.set(self.loop.clock.now() + LOOK_AGAIN, self.find)
+            self.lookup_retry = self.loop.deadlines.set(self.loop.clock.now() + LOOK_AGAIN, self.find)
 
     @property
     def handed_over(self) -> bool:
         """A newer process takes the clients."""
-        return self.newer is not None and self.newer.serving
+        return self.successor is not None and self.successor.serving
 
     def serve(self) -> None:
         """We accept clients: whoever comes after us finds us, and our predecessor may go."""
         self.publish()
-        if self.older is not None:
-            self.older.put({"state": self.state()})  # our readiness is passed on from now on
-            self.older.put({"serving": True, "published": self.published})
+        if self.predecessor is not None:
+            self.predecessor.put({"state": self.state()})  # our readiness is passed on from now on
+            self.predecessor.put({"serving": True, "published": self.published})
 
     def publish(self) -> None:
         """Put our socket where the next process looks for it; by a rename, so that there always is one."""
@@ -311,70 +316,70 @@
         if len(self.strangers) >= MOST_STRANGERS:
             conn.close()
             return
-        self.strangers.append(Link(self, conn, older=False))
+        self.strangers.append(Link(self, conn, predecessor=False))
 
     def greeted(self, link: Link, ids: set[str]) -> None:
         if link in self.strangers:
             self.strangers.remove(link)
-            if self.newer is not None:
+            if self.successor is not None:
                 link.end()
                 return
-            self.newer = link
-        self.core.ids_beside |= ids
+            self.successor = link
+        self.core.peer_request_ids |= ids
         self.changed()
 
     def ended(self, link: Link) -> None:
         if link in self.strangers:
             self.strangers.remove(link)
             return
-        if link is self.older:
-            self.older = None
+        if link is self.predecessor:
+            self.predecessor = None
             if not link.greeted and self.listener is None:
                 self.find_again()  # it was ending, and never spoke to us
-        elif link is self.newer:
-            self.newer = None
+        elif link is self.successor:
+            self.successor = None
             unsent, self.unsent = self.unsent, []
             for waits, edge in unsent:
                 if self.ledger is not None and not edge.conn.closed:
-                    self.ledger.wait_for(asked_by(self.core, waits), edge)
+                    self.ledger.attach_client(rebuild_request(self.core, waits), edge)
             # Whether it still answers there says nothing: one that ends may close its listener last. What
             # counts is whose file stands there. A third process's stays, for that one has the clients.
             if link.serving and (link.published is None or _identity(self.path) in (None, link.published)):
                 self.publish()
         else:
             return
-        if self.older is None and self.newer is None:
-            self.core.ids_beside.clear()
-        self.core.tell(api.Beside(gone=True))
+        if self.predecessor is None and self.successor is None:
+            self.core.peer_request_ids.clear()
+        self.core.add_event(api.Beside(gone=True))
         self.changed()
 
     def give(self) -> None:
         """Hand our successor the jobs that can go to it."""
-        if not self.handed_over or not self.gives() or self.newer is None:
+        if not self.handed_over or not self.gives() or self.successor is None:
             return
         for request in self.core.requests.all():
-            edge = self.edge.movable(request)
+            edge = self.edge.transferable_connection(request)
             if edge is None or request.wire_id in self.stay:
                 continue
-            moved = hand_out(self.core, request)
+            moved = transfer_request(self.core, request)
             if moved is None:
                 continue
-            edge.hold(None)
+            edge.set_request(None)
             sock, self.asks = edge.conn.detach(), self.asks + 1
-            if not self.newer.put_socket({"adopt": asdict(moved), "ask": self.asks}, sock):
+            if not self.successor.put_socket({"adopt": asdict(moved), "ask": self.asks}, sock):
                 self.take(asdict(moved), sock)  # there is no room on the link: next time
                 return
-            self.newer.given[self.asks] = (moved, sock)
+            self.successor.pending_transfers[self.asks] = (moved, sock)
         self.give_ledger()
 
     def give_ledger(self) -> None:
         """Hand it over once its jobs can go on there; then their clients, as the link has room."""
-        assert self.newer is not None
-        if self.ledger is not None and not self.ledger.given_up:
-            waiting = self.ledger.give()
+        assert self.successor is not None
+        if self.ledger is not None and not self.ledger.released:
+            waiting = self.ledger.release()
             if waiting is None:
                 return
-            self.newer.put({"ledger": True})
+            self.successor.put({"ledger": True})
             self.unsent += waiting
         while self.unsent:
             waits, edge = self.unsent[0]
@@ -382,10 +387,10 @@
                 self.unsent.pop(0)
                 continue
             self.asks += 1
-            if not self.newer.put_socket({"waits": asdict(waits), "ask": self.asks}, edge.conn.sock):
+            if not self.successor.put_socket({"waits": asdict(waits), "ask": self.asks}, edge.conn.sock):
                 return  # next time
-            edge.hold(None)
-            self.newer.given[self.asks] = (waits, edge.conn.detach())
+            edge.set_request(None)
+            self.successor.pending_transfers[self.asks] = (waits, edge.conn.detach())
             self.unsent.pop(0)
 
     def take_waiting(self, said: dict[str, Any], sock: socket.socket) -> bool:
@@ -394,7 +399,7 @@
         try:
             if self.ledger is None:
                 raise ValueError("no durable jobs here")
-            self.ledger.wait_for(asked_by(self.core, Waits(**said)), edge)
+            self.ledger.attach_client(rebuild_request(self.core, WaitingClient(**said)), edge)
         except (ValueError, TypeError, AttributeError):
             edge.conn.close()
             return False
@@ -404,25 +409,25 @@
         """Take in a job that the other hands us, or our own again."""
         edge = self.edge.adopt(sock)
         try:
-            request = adopt(self.core, Moved(**said), edge)
+            request = adopt(self.core, TransferredRequest(**said), edge)
         except (ValueError, TypeError, AttributeError):
             edge.conn.close()  # our descriptor alone: the other holds its own
             return False
-        edge.hold(request)
-        self.edge.may_hold(edge)
+        edge.set_request(request)
+        self.edge.account_memory(edge)
         return True
 
-    def pass_on(self, news: dict[str, Any], reply: Reply) -> None:
+    def forward_callback(self, news: dict[str, Any], reply: Reply) -> None:
         """A call-back of an id that we do not know: it may be the other's. Always answered."""
-        links = [link for link in (self.older, self.newer) if link is not None and link.greeted]
+        links = [link for link in (self.predecessor, self.successor) if link is not None and link.greeted]
         self._pass(links, news, reply)
 
     def news_heard(self, link: Link, news: dict[str, Any], reply: Reply) -> None:
         """The other passes a call-back on to us: if it is not ours, to whoever is beyond us."""
-        beyond = self.newer if link.older else self.older
-        if self.ledger is not None and self.ledger.keep_early(news, reply):
+        beyond = self.successor if link.predecessor else self.predecessor
+        if self.ledger is not None and self.ledger.defer_callback(news, reply):
             return
-        if not link.older and self.ledger is not None and self.ledger.given_up and not self.taken(news):
+        if not link.predecessor and self.ledger is not None and self.ledger.released and not self.taken(news):
             return  # it may be of the ledger that is on its way there: its worker is to say it again
         if self.taken(news) or beyond is None or not beyond.greeted:
             reply(204)
--- a/eiderpin/net/http.py
+++ b/eiderpin/net/http.py
@@ -195,7 +195,7 @@
         done, self.complete = self.complete, []
         return [m for m in done if m.status >= 200]
 
-    def at_end(self) -> Message | None:
+    def message_at_eof(self) -> Message | None:
         """The answer that the end of its connection completes: one that told no length. None where it was
         cut, or none was under way."""
         message, h = self._message, self._message.headers
--- a/eiderpin/net/loop.py
+++ b/eiderpin/net/loop.py
@@ -17,10 +17,10 @@
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 CHUNK = 65536
-LINGER = 2500.0  # ms for which input is still read and dropped once we have shut our side ...
+LINGER_MS = 2500.0  # ms for which input is still read and dropped once we have shut our side ...
 LINGER_BYTES = 128 << 20  # ... and how much of it
 LAST_WORDS = 5000.0  # ms in which a peer must have taken the last that we say
-REST = 20.0  # ms for which a listener that has no room lets connections wait in its backlog
+SUSPEND_MS = 20.0  # ms for which a listener that has no room lets connections wait in its backlog
 LISTEN_AGAIN = 20.0  # ms until an address that could not be bound again after a pause is tried once more
 SCRATCH = bytearray(256 * 1024)  # where input that nobody wants is read into
 MOST_UNSENT = 1 << 20  # a peer that leaves more than this unread is cut off
@@ -49,8 +49,8 @@
 
     __slots__ = (
         "loop", "sock", "number", "connecting", "closed", "unsent", "closing", "on_open",
-        "on_data", "on_end", "on_flushed", "on_closed", "taken", "mask", "dropped", "end_at", "receive",
-        "waited", "retry", "queued", "on_writable",
+        "on_data", "on_end", "on_flushed", "on_closed", "bytes_sent", "mask", "dropped", "end_at", "receive",
+        "peer_is_waiting", "retry", "backlog_wait_ms", "on_writable",
     )  # fmt: skip
 
     def __init__(self, loop: Loop, sock: socket.socket, connecting: bool) -> None:
@@ -60,7 +60,7 @@
         self.closed = False
         self.closing = False  # to be closed once all is written
         self.unsent = bytearray()
-        self.taken = 0  # bytes that the kernel has taken
+        self.bytes_sent = 0  # bytes that the kernel has taken
         self.on_open: Callable[[], None] = _nothing
         self.on_data: Callable[[bytes], None] = _nothing_of
         self.on_end: Callable[[], None] = _nothing  # the peer has closed, or the stream broke
@@ -69,8 +69,8 @@
         self.on_closed: Callable[[], None] = _nothing  # the descriptor is free again, whoever closed
         self.dropped = 0  # bytes read and dropped since we began to close
         self.end_at: Deadline | None = None
-        self.queued = 0.0  # ms for which it may have waited to be accepted, while we accepted none
-        self.waited = False  # its peer waits for something here, until it ends
+        self.backlog_wait_ms = 0.0  # ms for which it may have waited to be accepted, while we accepted none
+        self.peer_is_waiting = False  # its peer waits for something here, until it ends
         self.receive: Callable[[int], bytes] = sock.recv
         self.retry: Deadline | None = None  # when a call that the system had no memory for is made again
         sock.setblocking(False)
@@ -98,7 +98,7 @@
             # While it waits here, its end may stand right behind what it sends, and more must not be done for
             # it then: so its end is looked for in this turn.
             for _ in range(READS):
-                if not self._read() or not self.waited:
+                if not self._read() or not self.peer_is_waiting:
                     return
 
     def _read(self) -> bool:
@@ -167,7 +167,7 @@
         try:
             while self.unsent:
                 sent = self.sock.send(self.unsent)
-                self.taken += sent
+                self.bytes_sent += sent
                 del self.unsent[:sent]
         except (BlockingIOError, InterruptedError):
             if len(self.unsent) > MOST_UNSENT:
@@ -209,7 +209,7 @@
             self.close()
             return
         self.on_end = _nothing
-        self._end_within(LINGER)
+        self._end_within(LINGER_MS)
 
     def _end_within(self, ms: float) -> None:
         self.loop.deadlines.drop(self.end_at)
@@ -269,7 +269,7 @@
 
 
 class Listener:
-    """Accepts connections while it is `on` and `make_room` says that there is room for them.
+    """Accepts connections while it is `accepting` and `make_room` says that there is room for them.
 
     `where` is an address, or a socket that listens already and may be others' too: that one is neither bound
     nor shut down here. `shared`: an old and a new process may both bind the address for a while.
@@ -277,12 +277,12 @@
 
     def __init__(
         self, loop: Loop, where: tuple[str, int] | socket.socket, taken: Callable[[Connection], None],
-        make_room: Callable[[], bool] = lambda: True, on: bool = True, shared: bool = False,
+        make_room: Callable[[], bool] = lambda: True, accepting: bool = True, shared: bool = False,
     ) -> None:  # fmt: skip
         self.loop = loop
         self.taken = taken
         self.make_room = make_room
-        self.on = self.resting = self._registered = False
+        self.accepting = self.resting = self._registered = False
         self._has_listened = False
         self._again: Deadline | None = None  # when it tries to listen again
         self._full_since: float | None = None  # when it first had to rest with connections in its backlog
@@ -290,7 +290,7 @@
         self.sock = where if isinstance(where, socket.socket) else self._bound(where)
         self.sock.setblocking(False)
         self._where = self.sock.getsockname()
-        if on:
+        if accepting:
             self.start()
 
     def _bound(self, where: tuple[str, int]) -> socket.socket:
@@ -310,7 +310,7 @@
         """Accept from now on; where that cannot be at once after a pause, as soon as it can. The first time
         it raises `OSError`."""
         self.loop.deadlines.drop(self._again)
-        if not self.on and not self._inherited:
+        if not self.accepting and not self._inherited:
             try:
                 if self.sock.fileno() < 0:
                     self.sock = self._bound(self.address)
@@ -322,20 +322,20 @@
                 self.loop.counters.add("in.not_listening")
                 self._again = self.loop.deadlines.set(self.loop.clock.now() + LISTEN_AGAIN, self.start)
                 return
-        self.on = self._has_listened = True
+        self.accepting = self._has_listened = True
         self._watch()
 
-    def pause(self) -> None:
+    def stop(self) -> None:
         """Accept no more. What waits is for whoever else listens: on the same socket, or on the same address,
         where a socket that goes on listening would keep its part of the callers waiting."""
-        self.on = False
+        self.accepting = False
         self.loop.deadlines.drop(self._again)
         self._watch()
         if not self._inherited:
             self.sock.close()
 
     def _watch(self) -> None:
-        wanted = self.on and not self.resting and self.sock.fileno() >= 0
+        wanted = self.accepting and not self.resting and self.sock.fileno() >= 0
         if wanted and not self._registered:
             self.loop.selector.register(self.sock, READ, self.ready)
         elif not wanted and self._registered:
@@ -345,7 +345,7 @@
 
     def ready(self, mask: int) -> None:
         for _ in range(64):
-            if self.resting or not self.on:
+            if self.resting or not self.accepting:
                 return
             try:
                 sock, _ = self.sock.accept()
@@ -359,7 +359,7 @@
                     lack = "no_descriptor" if error.errno in NO_DESCRIPTORS else "no_memory"
                     self.loop.counters.add(f"in.{lack}")
                     self.make_room()
-                    self.rest()
+                    self.suspend()
                     return
                 continue  # the peer went away while it waited, or its network did: there may be more
             try:
@@ -368,10 +368,10 @@
                 sock.close()
                 continue
             if self._full_since is not None:
-                connection.queued = self.loop.clock.now() - self._full_since
+                connection.backlog_wait_ms = self.loop.clock.now() - self._full_since
             self.taken(connection)
 
-    def rest(self, ms: float = REST) -> None:
+    def suspend(self, ms: float = SUSPEND_MS) -> None:
         if not self.resting:
             self.resting = True
             if self._full_since is None:
@@ -381,14 +381,14 @@
 
     def _wake(self) -> None:
         self.resting = False
-        if self.on and not self.make_room():
-            self.rest()
+        if self.accepting and not self.make_room():
+            self.suspend()
             return
         self._watch()
 
     def close(self) -> None:
         """Our own descriptor alone: a socket that others hold too goes on listening."""
-        self.pause()
+        self.stop()
         self.sock.close()
 
 
@@ -429,7 +429,7 @@
             self.counters.add(f"out.connect.{error}")
             raise
 
-    def once(self, after: Callable[[], None], longest: float = 1000.0) -> None:
+    def run_once(self, after: Callable[[], None], longest: float = 1000.0) -> None:
         """Wait for sockets or the next deadline, serve what is ready, then call `after`."""
         wait = min(self.deadlines.next_at() - self.clock.now(), longest)
         for key, mask in self.selector.select(max(0.0, wait if wait < math.inf else longest) / 1000.0):
--- a/eiderpin/net/management.py
+++ b/eiderpin/net/management.py
@@ -17,28 +17,28 @@
 class Part(Protocol):
     """A further part's calls."""
 
-    most_line: int
+    max_line_bytes: int
 
-    def call(self, caller: Call, said: bytes) -> None:
+    def call(self, caller: ManagementConnection, said: bytes) -> None:
         """One line, less its first word. `caller` is to be answered sooner or later."""
         ...
 
 
-class Call:
+class ManagementConnection:
     """One caller's connection."""
 
-    __slots__ = ("door", "conn", "line", "limit", "on_gone")
+    __slots__ = ("door", "conn", "line", "limit", "on_disconnect")
 
     def __init__(self, door: Management, conn: Connection) -> None:
         self.door, self.conn = door, conn
         self.line = b""
-        self.on_gone: Callable[[], None] = _nothing
+        self.on_disconnect: Callable[[], None] = _nothing
         self.limit: Deadline | None = door.loop.deadlines.set(door.loop.clock.now() + PATIENCE, self.too_slow)
         conn.on_data, conn.on_end, conn.on_closed = self.data, self.end, self.closed
 
     def data(self, data: bytes) -> None:
         part = self.door.part_of(self.line[:64] + data[:64])
-        most = part.most_line if part is not None else MOST_LINE
+        most = part.max_line_bytes if part is not None else MOST_LINE
         line, ended, _ = (self.line + data[: most + 1]).partition(b"\n")
         if ended and part is not None and len(line) <= most:
             self.conn.on_data = _ignore
@@ -53,11 +53,11 @@
         self.conn.write(text.encode() + b"\n")
         self.conn.close_when_sent()
 
-    def say(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         """A line that is not the last."""
         self.conn.write(text.encode() + b"\n")
 
-    def wait(self, ms: float | None) -> None:
+    def set_timeout(self, ms: float | None) -> None:
         """The answer may take so long from now on; None: it has no end."""
         deadlines, now = self.door.loop.deadlines, self.door.loop.clock.now()
         deadlines.drop(self.limit)
@@ -73,7 +73,7 @@
     def closed(self) -> None:
         self.door.loop.deadlines.drop(self.limit)
         self.door.open.pop(self, None)
-        self.on_gone()
+        self.on_disconnect()
 
 
 class Management:
@@ -86,21 +86,21 @@
         most: int,
     ) -> None:
         self.loop, self.counters, self.calls = loop, counters, calls
-        self.most = most  # callers open at once
-        self.parts: dict[str, Part] = {}
-        self.open: dict[Call, None] = {}  # in the order of their coming
+        self.max_connections = most  # callers open at once
+        self.extensions: dict[str, Part] = {}
+        self.open: dict[ManagementConnection, None] = {}  # in the order of their coming
         self.listener = Listener(loop, address, self.taken)
 
     def taken(self, conn: Connection) -> None:
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             # Who is here longest has had the most time: those who say nothing must not keep others out.
             next(iter(self.open)).conn.close()
             self.counters.add("in.calls_crowded")
-        self.open[Call(self, conn)] = None
+        self.open[ManagementConnection(self, conn)] = None
 
     def part_of(self, line: bytes) -> Part | None:
         """Whose call it is, by its first word."""
-        for name, part in self.parts.items():
+        for name, part in self.extensions.items():
             if line.startswith(name.encode() + b" "):
                 return part
         return None
--- a/eiderpin/net/static_list.py
+++ b/eiderpin/net/static_list.py
@@ -6,21 +6,21 @@
 
 from eiderpin import interface as api
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.requests import Attempt, ServiceEntry
-from eiderpin.net.discovery import address
+from eiderpin.core.requests import Attempt, Endpoint
+from eiderpin.net.discovery import parse_address
 from eiderpin.net.workers import HttpWorkers
 
-Listed = list[tuple[api.WorkerEntry, object]]
+ListedWorkers = list[tuple[api.WorkerEntry, object]]
 
 STATES = {"in_service": api.WorkerState.IN_SERVICE, "draining": api.WorkerState.DRAINING}
 KEYS = ("name", "address", "state", "zone", "machine_type", "slots", "classes")
 
 
-def read_workers(said: Any, classes: list[str]) -> Listed:
+def read_workers(said: Any, classes: list[str]) -> ListedWorkers:
     """The `workers` of a configuration. Raises `ValueError` with the row, the key and what is expected."""
     if not isinstance(said, list):
         raise ValueError("workers: a list is needed")
-    rows: Listed = []
+    rows: ListedWorkers = []
     seen: set[str] = set()
     for number, row in enumerate(said):
         where = f"workers[{number}]"
@@ -40,7 +40,7 @@
         if able is not None and not (isinstance(able, list) and able and all(c in classes for c in able)):
             raise ValueError(f"{where}.classes: {able!r}; some of {', '.join(classes)} are expected")
         try:
-            at = address(row.get("address"))
+            at = parse_address(row.get("address"))
         except ValueError as error:
             raise ValueError(f"{where}.address: {error}; host:port is expected") from None
         seen.add(name)
@@ -59,9 +59,9 @@
     def __init__(self, core: Dispatcher, workers: HttpWorkers) -> None:
         self.core, self.workers = core, workers
 
-    def tell(self, rows: Listed) -> None:
+    def update_workers(self, rows: ListedWorkers) -> None:
         """These are all. One that is no longer listed is gone: it gets nothing new, as with discovery."""
-        self.core.list_told(self, api.ListKind.COMPLETE, rows)
+        self.core.apply_worker_list(self, api.ListKind.COMPLETE, rows)
 
     def send(self, attempt: Attempt) -> None:
         self.workers.send(attempt)
@@ -69,11 +69,11 @@
     def cancel(self, attempt: Attempt) -> None:
         self.workers.cancel(attempt)
 
-    def probe(self, entry: ServiceEntry) -> None:
+    def probe(self, entry: Endpoint) -> None:
         self.workers.probe(entry)
 
-    def entry_changed(self, entry: ServiceEntry) -> None:
-        self.workers.entry_changed(entry)
+    def endpoint_changed(self, entry: Endpoint) -> None:
+        self.workers.endpoint_changed(entry)
 
-    def may_move(self, attempt: Attempt) -> bool:
-        return self.workers.may_move(attempt)
+    def may_transfer(self, attempt: Attempt) -> bool:
+        return self.workers.may_transfer(attempt)
--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -14,7 +14,7 @@
 from eiderpin import interface as api
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.requests import Attempt, ServiceEntry
+from eiderpin.core.requests import Attempt, Endpoint
 from eiderpin.net import http, reports
 from eiderpin.net.loop import ConnectError, Connection, Loop
 
@@ -41,11 +41,11 @@
 class WorkerConnection:
     """One connection to a worker; it carries one exchange at a time."""
 
-    __slots__ = ("workers", "entry", "address", "conn", "reader", "attempt", "payload", "deadline",
+    __slots__ = ("workers", "endpoint", "address", "conn", "reader", "attempt", "payload", "deadline",
                  "probe_at", "life", "rested_at", "stood", "begun_at")  # fmt: skip
 
-    def __init__(self, workers: HttpWorkers, entry: ServiceEntry, conn: Connection) -> None:
-        self.workers, self.entry, self.address, self.conn = workers, entry, entry.address, conn
+    def __init__(self, workers: HttpWorkers, endpoint: Endpoint, conn: Connection) -> None:
+        self.workers, self.endpoint, self.address, self.conn = workers, endpoint, endpoint.address, conn
         self.reader = http.ResponseReader()
         self.attempt: Attempt | None = None
         self.payload = b""
@@ -97,7 +97,7 @@
         """The rest of the request may go out: a worker begins at its last byte, so that is not sent any more
         for clients that have gone meanwhile."""
         attempt, core = self.attempt, self.workers.core
-        if self.life is Life.SENDING and attempt is not None and core.is_deserted(attempt.request):
+        if self.life is Life.SENDING and attempt is not None and core.all_waiters_left(attempt.request):
             self.close()
             core.ended(attempt, api.Outcome.NOT_SENT)
 
@@ -138,7 +138,7 @@
             ok = message.status == 200
             names = core.settings.report_names
             report = reports.of_body(message.body, names) if ok and message.body else None
-            core.probed(self.entry, ok, core.clock.now() - self.probe_at, report)
+            core.probed(self.endpoint, ok, core.clock.now() - self.probe_at, report)
         elif attempt is not None:
             if message.status == 202:
                 attempt.accepted = True
@@ -166,7 +166,7 @@
 
     def ended(self) -> None:
         """The worker has ended it: with that the answer is whole, where it told no length."""
-        last = self.reader.at_end() if self.life is Life.AWAITING else None
+        last = self.reader.message_at_eof() if self.life is Life.AWAITING else None
         if last is not None:
             self.answered(last)
         else:
@@ -186,7 +186,7 @@
             outcome = api.Outcome.NOT_CONNECTED if never else api.Outcome.RESET
             core.ended(attempt, outcome, stale=stale)
         elif self.probe_at is not None:
-            core.probed(self.entry, False, core.clock.now() - self.probe_at)
+            core.probed(self.endpoint, False, core.clock.now() - self.probe_at)
         self.close()
 
     def close(self) -> None:
@@ -215,12 +215,14 @@
         self.loop, self.core = loop, core
         self.host = host
         self.probes_at = b"/_load" if core.settings.reports_in_probes else b"/ping"
-        self.most = most
+        self.max_connections = most
         self.open: set[WorkerConnection] = set()
         self.idle: dict[str, list[WorkerConnection]] = {}
         self._trust, self._stale_at = math.inf, 0.0
-        self.early: list[tuple[Any, Callable[[int], None]]] | None = None  # that wait for a ledger's recovery
-        self.not_ours: Callable[[dict[str, Any], Callable[[int], None]], None] = _nobody
+        self.deferred_callbacks: list[tuple[Any, Callable[[int], None]]] | None = (
+            None  # that wait for a ledger's recovery
+        )
+        self.on_unknown_callback: Callable[[dict[str, Any], Callable[[int], None]], None] = _nobody
 
     # -- what the core asks
 
@@ -229,7 +231,7 @@
         # brings would be the end of a job that must not run twice. A new connection costs far less.
         once = self.core.classes[attempt.request.cls].repeat is not api.Repeat.FREE
         try:
-            connection = self._connection(attempt.entry, SURE_IDLE if once else self.trust())
+            connection = self._connection(attempt.endpoint, SURE_IDLE if once else self.trust())
         except ConnectError as error:
             # What we lack ourselves says nothing of the worker; that its address cannot be reached does.
             self.core.ended(attempt, api.Outcome.NOT_SENT if error.own else api.Outcome.NOT_CONNECTED)
@@ -256,30 +258,30 @@
         if connection is None and not attempt.accepted:
             return  # nothing of it has gone out
         target = b"/jobs/" + attempt.request.wire_id.encode()
-        self._call(attempt.entry, http.request("DELETE", target, (f"Host: {self.host}",)), None)
+        self._call(attempt.endpoint, http.request("DELETE", target, (f"Host: {self.host}",)), None)
 
-    def probe(self, entry: ServiceEntry) -> None:
+    def probe(self, endpoint: Endpoint) -> None:
         payload = http.request("GET", self.probes_at, (f"Host: {self.host}",))
-        if not self._call(entry, payload, self.core.clock.now()):
-            self.core.probed(entry, False, 0.0)
+        if not self._call(endpoint, payload, self.core.clock.now()):
+            self.core.probed(endpoint, False, 0.0)
 
-    def entry_changed(self, entry: ServiceEntry) -> None:
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
         """Connections to a process that is gone, or to an address that it has left, are of no use."""
-        gone = entry.listed.state is api.WorkerState.GONE
-        for connection in list(self.idle.get(entry.name, ())):
-            if gone or connection.address != entry.address:
+        gone = endpoint.listed.state is api.WorkerState.GONE
+        for connection in list(self.idle.get(endpoint.name, ())):
+            if gone or connection.address != endpoint.address:
                 connection.close()
 
-    def may_move(self, attempt: Attempt) -> bool:
+    def may_transfer(self, attempt: Attempt) -> bool:
         connection = attempt.handle
         tied = isinstance(connection, WorkerConnection) and connection.attempt is attempt
         return attempt.accepted and not tied
 
     # -- connections
 
-    def _call(self, entry: ServiceEntry, payload: bytes, probe_at: float | None) -> bool:
+    def _call(self, endpoint: Endpoint, payload: bytes, probe_at: float | None) -> bool:
         try:
-            connection = self._connection(entry, self.trust())
+            connection = self._connection(endpoint, self.trust())
         except ConnectError:
             return False
         connection.probe_at = probe_at
@@ -297,22 +299,22 @@
         self.core.counters.add("out.stale")
         self._trust, self._stale_at = max(SURE_IDLE, min(self.trust(), stood / 2)), self.loop.clock.now()
 
-    def _connection(self, entry: ServiceEntry, most_idle: float) -> WorkerConnection:
+    def _connection(self, endpoint: Endpoint, most_idle: float) -> WorkerConnection:
         """One that rests, or a new one on its way up. Raises `ConnectError`."""
-        waiting = self.idle.get(entry.name, [])
+        waiting = self.idle.get(endpoint.name, [])
         since = self.loop.clock.now() - most_idle
         while waiting and waiting[-1].rested_at >= since:  # the one that came to rest last is the last
             connection = waiting.pop()
-            if connection.address == entry.address and _alive(connection.conn.sock):
+            if connection.address == endpoint.address and _alive(connection.conn.sock):
                 return connection
             connection.close()
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             self._retire_one()
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             raise ConnectError(errno.EMFILE)
-        conn = self.loop.open_connection(entry.address)
+        conn = self.loop.open_connection(endpoint.address)
         self.core.counters.add("out.worker_connections")
-        connection = WorkerConnection(self, entry, conn)
+        connection = WorkerConnection(self, endpoint, conn)
         self.open.add(connection)
         return connection
 
@@ -323,8 +325,8 @@
                 return
 
     def rest(self, connection: WorkerConnection) -> None:
-        waiting = self.idle.setdefault(connection.entry.name, [])
-        if connection.address != connection.entry.address or len(waiting) >= MOST_IDLE:
+        waiting = self.idle.setdefault(connection.endpoint.name, [])
+        if connection.address != connection.endpoint.address or len(waiting) >= MOST_IDLE:
             connection.close()
             return
         waiting.append(connection)
@@ -333,7 +335,7 @@
 
     def lost(self, connection: WorkerConnection) -> None:
         self.open.discard(connection)
-        waiting = self.idle.get(connection.entry.name, [])
+        waiting = self.idle.get(connection.endpoint.name, [])
         if connection in waiting:
             waiting.remove(connection)
 
@@ -342,31 +344,31 @@
     def load_of(self, said: dict[str, Any]) -> api.Report | None:
         return reports.of_fields(said.get("load"), self.core.settings.report_names)
 
-    def news(self, body: bytes, reply: Callable[[int], None]) -> None:
+    def handle_callback(self, body: bytes, reply: Callable[[int], None]) -> None:
         """Take one call-back and reply with a status. Repeated and late ones are answered as well."""
         try:
             said: Any = orjson.loads(body)
-            if self.keep_early(said, reply):
+            if self.defer_callback(said, reply):
                 return
-            known = self.take_news(said)
+            known = self.apply_callback(said)
         except ValueError:
             reply(400)
             return
         self.count_news(said, known, reply)
 
-    def keep_early(self, said: Any, reply: Callable[[int], None]) -> bool:
+    def defer_callback(self, said: Any, reply: Callable[[int], None]) -> bool:
         """Whether it waits for a ledger's recovery."""
-        if self.early is None or len(self.early) >= MOST_EARLY:
+        if self.deferred_callbacks is None or len(self.deferred_callbacks) >= MOST_EARLY:
             return False
-        self.early.append((said, reply))
+        self.deferred_callbacks.append((said, reply))
         return True
 
-    def take_early(self) -> None:
+    def process_deferred_callbacks(self) -> None:
         """The ledger has been recovered: what workers told meanwhile is taken now."""
-        early, self.early = self.early or [], None
-        for said, reply in early:
+        deferred_callbacks, self.deferred_callbacks = self.deferred_callbacks or [], None
+        for said, reply in deferred_callbacks:
             try:
-                known = self.take_news(said)
+                known = self.apply_callback(said)
             except ValueError:
                 reply(400)
                 continue
@@ -378,17 +380,19 @@
         if known:
             reply(204)
         else:
-            self.not_ours(said, reply)
+            self.on_unknown_callback(said, reply)
 
-    def take_news(self, said: Any) -> bool:
+    def apply_callback(self, said: Any) -> bool:
         """Whether it is of a request that we know. Raises `ValueError` where it makes no sense."""
         if not isinstance(said, dict) or not all(isinstance(said.get(k), str) for k in ("id", "state")):
             raise ValueError("a call-back names an id and a state")
         state, request = said["state"], self.core.request_of(said["id"])
         if request is None:
-            keeper, sender = self.core.keeper, str(said.get("from"))
-            return keeper is not None and keeper.late(said["id"], sender, state, _result(said))
-        mine = [s for s in request.attempts if s.entry.name == said.get("from")]
+            job_manager, sender = self.core.job_manager, str(said.get("from"))
+            return job_manager is not None and job_manager.handle_late_report(
+                said["id"], sender, state, _result(said)
+            )
+        mine = [s for s in request.attempts if s.endpoint.name == said.get("from")]
         attempt = next((s for s in reversed(mine) if not s.ended), None)
         if attempt is None:
             if state == "done" and mine:
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -31,7 +31,7 @@
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.log_stream import LogStream
 from eiderpin.net import discovery
-from eiderpin.net.edge import Away, Edge
+from eiderpin.net.edge import DrainScope, HttpFront
 from eiderpin.net.loop import Loop
 from eiderpin.net.workers import HttpWorkers
 from eiderpin.shutdown import Shutdown
@@ -91,9 +91,9 @@
         self.agent_check: AgentCheck | None = None
         self.management: Management | None = None
         try:
-            self.edge = Edge(
-                self.loop, self.core, where, self.workers.news, self.health, fronts, extra, memory,
-                on=not shared,
+            self.http_front = HttpFront(
+                self.loop, self.core, where, self.workers.handle_callback, self.health, fronts, extra, memory,
+                accepting=not shared,
             )  # fmt: skip
             # What is off is not imported: a front's module comes in with the front.
             if config.gearman is not None:
@@ -114,13 +114,13 @@
                 self.management = Management(self.loop, self.counters, config.management, calls, DOOR_CALLERS)
         except OSError as error:
             raise ConfigError(f"cannot listen: {error}") from None
-        self.shutdown = Shutdown(self.core, self.edge, self.gearman, self.workers, self.ledger)
+        self.shutdown = Shutdown(self.core, self.http_front, self.gearman, self.workers, self.ledger)
         self.listed: StaticList | None = None
         if config.workers is not None:
             from eiderpin.net import static_list
 
             self.listed = static_list.StaticList(self.core, self.workers)
-            self.listed.tell(config.workers)
+            self.listed.update_workers(config.workers)
         self.discovery: discovery.Discovery | None = None
         if config.discovery is not None:
             self.discovery = discovery.Discovery(
@@ -130,17 +130,17 @@
         self.serving = not shared  # we accept clients, or did until a successor took them
         self.handover: Handover | None = None
         if shared:
-            host, port = self.edge.listener.address
+            host, port = self.http_front.listener.address
             path = os.path.join(tempfile.gettempdir(), f"eiderpin-{host}-{port}.link")
             from eiderpin.net.handover import Handover
 
             self.handover = Handover(
-                self.loop, self.core, self.edge, path, self.workers.take_news, self.state, self.changed,
-                self.shutdown.may_hand_over,
+                self.loop, self.core, self.http_front, path, self.workers.apply_callback, self.state,
+                self.changed, self.shutdown.may_hand_over,
             )  # fmt: skip
             self.shutdown.handover = self.handover
             self.handover.ledger = self.ledger
-            self.workers.not_ours = self.handover.pass_on
+            self.workers.on_unknown_callback = self.handover.forward_callback
         if config.store is not None:
             self.keep_store(config.store)
         if config.follow is not None:
@@ -184,17 +184,17 @@
                 raise ConfigError(f"store.directory {options.folder}: {error}") from None
             self.deadlines.set(self.clock.now() + STORE_EVERY, lambda: self.keep_store(options))
             if self.management is not None:
-                self.management.parts["store"] = door.Elsewhere()
+                self.management.extensions["store"] = door.Elsewhere()
             if options.outcomes:
                 from eiderpin.jobs import elsewhere
                 from eiderpin.parts import durable as job_options
 
-                self.core.keeper = elsewhere.Elsewhere(job_options.Options("", options.outcomes))
+                self.core.job_manager = elsewhere.Elsewhere(job_options.Options("", options.outcomes))
             return
         except ValueError as error:
             raise ConfigError(str(error)) from None
         if self.management is not None:
-            self.management.parts["store"] = door.StoreDoor(self.store)
+            self.management.extensions["store"] = door.StoreDoor(self.store)
         self.shared_state = SharedState(
             self.store, self.core, options.name, self.about, self.take_shared, self.say, warn
         )
@@ -202,12 +202,12 @@
             self.serve_observers(self.store, options)
         self.shared_state.on_fenced = self.changed
         source = self.discovery
-        self.shared_state.listed = lambda: source is None or source.told
+        self.shared_state.listed = lambda: source is None or source.has_answered
         if options.outcomes:
             from eiderpin.fleet.outcomes import Outcomes
 
             life = self.shared_state.life
-            self.core.keeper = Outcomes(self.store, self.core, options.outcomes, options.keep, life)
+            self.core.job_manager = Outcomes(self.store, self.core, options.outcomes, options.keep, life)
 
     def serve_observers(self, store: StoreHost, options: StoreOptions) -> None:
         """Serve dispatchers that follow the store. Raises `ConfigError`."""
@@ -224,7 +224,7 @@
     def follow_store(self, options: FollowOptions) -> None:
         """Begin as an observer of the store; beside an older process, once that one has ended, for both have
         one name. Raises `ConfigError`."""
-        if self.handover is not None and (self.handover.older is not None or not self.serving):
+        if self.handover is not None and (self.handover.predecessor is not None or not self.serving):
             self.deadlines.set(self.clock.now() + STORE_EVERY, lambda: self.follow_store(options))
             return
         try:
@@ -241,13 +241,13 @@
             random.Random(f"{self.config.seed} {options.name} {os.getpid()} {self.begun_at}"),
             self.about,
             self.take_shared,
-            lambda: source is None or source.told,
+            lambda: source is None or source.has_answered,
             self.changed,
             self.say,
             lambda text: logs.event(text, logging.WARNING),
         )
         if self.management is not None:
-            self.management.parts["store"] = ObserverCalls(self.control_plane)
+            self.management.extensions["store"] = ObserverCalls(self.control_plane)
 
     def about(self) -> dict[str, Any]:
         """What other dispatchers and operators may know of us."""
@@ -261,11 +261,11 @@
 
     def may_begin(self) -> bool:
         """Whether we can serve, so that a predecessor may go."""
-        older = self.handover.older if self.handover is not None else None
-        if older is None:
-            return self.handover is None or self.handover.again is None
-        told = self.discovery is None or self.discovery.told
-        can = told and older.sockets > 0
+        predecessor = self.handover.predecessor if self.handover is not None else None
+        if predecessor is None:
+            return self.handover is None or self.handover.lookup_retry is None
+        has_answered = self.discovery is None or self.discovery.has_answered
+        can = has_answered and predecessor.sockets > 0
         return can or self.clock.now() > self.begun_at + LATEST_BEGIN
 
     def begin(self) -> None:
@@ -285,45 +285,58 @@
             shutdown.handed_over_at = None
             shutdown.cut_deadlines()
             self.say("the newer process has gone: taking clients again")
-            if self.ledger is not None and self.ledger.given_up:
-                self.ledger.offered()
+            if self.ledger is not None and self.ledger.released:
+                self.ledger.on_ledger_released()
         elif shutdown.handed_over_at is None and self.handed_over:
             shutdown.handed_over_at = self.clock.now()
             self.say(f"a newer process takes the clients; {self.core.outstanding} jobs are under way here")
         accepts = self.serving and not self.handed_over
-        for front in (self.edge, self.gearman, self.agent_check):
-            if front is not None and front.listener.on is not accepts:
-                (front.listener.start if accepts else front.listener.pause)()
+        for front in (self.http_front, self.gearman, self.agent_check):
+            if front is not None and front.listener.accepting is not accepts:
+                (front.listener.start if accepts else front.listener.stop)()
         ending = shutdown.begun or self.handed_over
-        whom = Away.ALL if ending else Away.CLIENTS if self.drained or self.fenced else Away.NOBODY
-        self.edge.send_away(whom, 0.0 if ending else SETTLE)
+        whom = (
+            DrainScope.ALL
+            if ending
+            else DrainScope.CLIENTS
+            if self.drained or self.fenced
+            else DrainScope.NONE
+        )
+        self.http_front.drain_connections(whom, 0.0 if ending else SETTLE)
         if self.gearman is not None:
-            self.gearman.send_away(whom is not Away.NOBODY, SETTLE)
+            self.gearman.drain_connections(whom is not DrainScope.NONE, SETTLE)
         self.share_out()
 
     def share_out(self) -> None:
         """Together we keep to the limits: a successor leaves free what its predecessor still uses."""
         if self.handover is None:
             return
-        older, newer = self.handover.older, self.handover.newer
-        workers, fronts, extra = shares(self.config, older.sockets if older is not None else 0)
+        predecessor, successor = self.handover.predecessor, self.handover.successor
+        workers, fronts, extra = shares(self.config, predecessor.sockets if predecessor is not None else 0)
         if self.handed_over:
             workers = min(workers, len(self.workers.open) + FEW_MORE)
-        self.workers.most, self.edge.most, self.edge.extra = workers, fronts, extra
+        self.workers.max_connections, self.http_front.max_connections, self.http_front.extra_connections = (
+            workers,
+            fronts,
+            extra,
+        )
         if self.gearman is not None:
-            self.gearman.most = fronts
+            self.gearman.max_connections = fronts
         memory = HELD_SHARE * self.config.memory_mb * (1 << 20)
-        self.edge.memory = int(memory if older is None and newer is None else memory / 2)
+        self.http_front.max_held_bytes = int(
+            memory if predecessor is None and successor is None else memory / 2
+        )
 
     def state(self) -> dict[str, Any]:
         """What the process beside us is told."""
         if self.handed_over:
             self.share_out()
-        used = OWN + DOOR_CALLERS + len(self.edge.connections) + self.workers.most
+        used = OWN + DOOR_CALLERS + len(self.http_front.connections) + self.workers.max_connections
         if self.gearman is not None:
             used += len(self.gearman.connections)
         return {
-            "holds": self.core.module.beside().holds, "sockets": used, "readiness": self.readiness(),
+            "holds": self.core.module.describe_commitments().holds,
+            "sockets": used, "readiness": self.readiness(),
         }  # fmt: skip
 
     @property
@@ -338,15 +351,15 @@
     def readiness(self) -> str:
         """What balancers in front are told, in the words of HAProxy's agent-check: whether new work is
         welcome, and the share of what we can hold that is free."""
-        if self.handed_over and self.handover is not None and self.handover.newer is not None:
-            return self.handover.newer.readiness
+        if self.handed_over and self.handover is not None and self.handover.successor is not None:
+            return self.handover.successor.readiness
         if self.drained or self.fenced or self.shutdown.begun:
             return "drain"
         if self.ledger is not None and not self.ledger.ready:
             return "down"
-        if not self.serving or not any(e.in_service for e in self.core.entries.values()):
+        if not self.serving or not any(e.in_service for e in self.core.endpoints.values()):
             return "down"
-        most = min(self.edge.most, self.config.settings.most_held)
+        most = min(self.http_front.max_connections, self.config.settings.most_held)
         free = 100 - 100 * len(self.core.requests) // most
         comeback = self.comeback
         if comeback is not None:  # one that comes back asks for less until it knows enough
@@ -392,7 +405,7 @@
 
     def addresses(self) -> dict[str, str]:
         """Where we listen, for whoever started us with port 0."""
-        fronts = {"edge": self.edge, "gearman": self.gearman, "agent-check": self.agent_check,
+        fronts = {"edge": self.http_front, "gearman": self.gearman, "agent-check": self.agent_check,
                   "management": self.management}  # fmt: skip
         return {
             name: f"{front.listener.address[0]}:{front.listener.address[1]}"
@@ -441,10 +454,10 @@
         """Apply what can be applied at once; returns what takes a restart."""
         if self.discovery is not None and new.discovery is not None:
             self.config.discovery = new.discovery
-            self.discovery.move(new.discovery)
+            self.discovery.change_address(new.discovery)
         if self.listed is not None and new.workers is not None:
             self.config.workers = new.workers
-            self.listed.tell(new.workers)
+            self.listed.update_workers(new.workers)
         if self.store is not None or self.control_plane is not None:  # it follows those that are there
             now = self.config.settings
             new.settings.instances, new.settings.instance = now.instances, now.instance
@@ -476,7 +489,7 @@
         if self.control_plane is not None:
             self.counters.counts["observer.age_ms"] = int(self.control_plane.observer.age)
         if self.discovery is not None:
-            self.counters.counts["discovery.list_age_ms"] = int(self.discovery.list_age)
+            self.counters.counts["discovery.list_age_ms"] = int(self.discovery.list_age_ms)
         lines = ["counters", *self.counters.lines(), "end of counters"]
         for line in lines:
             if self.log_stream is not None:
@@ -493,7 +506,7 @@
         rests = self.serving and not begun and self.shutdown.handed_over_at is None
         if self.ledger is not None:
             rests = self.ledger.turn() and rests
-        self.loop.once(self.after_turn, 1000.0 if rests else 20.0)
+        self.loop.run_once(self.after_turn, 1000.0 if rests else 20.0)
 
     def after_turn(self) -> None:
         self.core.decide()
--- a/eiderpin/shutdown.py
+++ b/eiderpin/shutdown.py
@@ -13,7 +13,7 @@
 from eiderpin import logs
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.core.shutdown import ShutdownSchedule
-from eiderpin.net.edge import Edge
+from eiderpin.net.edge import HttpFront
 from eiderpin.net.workers import HttpWorkers
 
 if TYPE_CHECKING:
@@ -21,9 +21,11 @@
     from eiderpin.net.gearman_front import GearmanFront
     from eiderpin.net.handover import Handover
 
-LINGER = 600.0  # ms after SIGTERM in which new connections may still come
+LINGER_MS = 600.0  # ms after SIGTERM in which new connections may still come
 HALF_SENT_FOR = 3000.0  # ms after SIGTERM for which requests that are half sent are waited for
-CLOSING_FOR = 1000.0  # ms, at the very end, in which those who are still connected may see that we close
+CLOSING_NOTICE_MS = (
+    1000.0  # ms, at the very end, in which those who are still connected may see that we close
+)
 SUCCESSOR_WITHIN = 3000.0  # ms after SIGTERM for which a successor that cannot serve yet is waited for
 HAND_OVER_AFTER = 1000.0  # ms after SIGTERM in which jobs may end here; then a successor has them
 
@@ -34,12 +36,12 @@
     def __init__(
         self,
         core: Dispatcher,
-        edge: Edge,
+        http_front: HttpFront,
         gearman: GearmanFront | None,
         workers: HttpWorkers,
         ledger: Ownership | None,
     ) -> None:
-        self.core, self.edge, self.gearman, self.workers = core, edge, gearman, workers
+        self.core, self.http_front, self.gearman, self.workers = core, http_front, gearman, workers
         self.ledger = ledger
         self.handover: Handover | None = None  # set where an old and a new process run side by side
         self.schedule: ShutdownSchedule | None = None  # since SIGTERM
@@ -79,7 +81,7 @@
         return {
             "outstanding": self.core.outstanding,
             "attempts": sum(not a.ended for a in attempts),
-            "clients": len(self.edge.connections),
+            "clients": len(self.http_front.connections),
             "server_connections": len(self.workers.open),
         }
 
@@ -89,7 +91,7 @@
         assert self.schedule is not None
         self.core.answer_by(self.schedule.answers_by)
         self.core.decide()
-        answered = self.edge.answer_all()
+        answered = self.http_front.answer_all()
         if self.gearman is not None:
             answered += self.gearman.answer_all()
         logs.event("all is answered or given up", logging.INFO, by_fronts=answered, **self._what_is_open())
@@ -98,7 +100,7 @@
 
     def is_over(self) -> bool:
         """Whether the process may exit now. To be asked once a turn: clients are sent off on the way."""
-        if not self._may_end() or (self.ledger is not None and not self.ledger.quiet()):
+        if not self._may_end() or (self.ledger is not None and not self.ledger.is_idle()):
             return False
         if self._is_anything_owed():
             self._stop_closing()
@@ -106,20 +108,22 @@
         now = self.core.clock.now()
         if self._closing_since is None:
             self._closing_since = now
-        return self.edge.part(self._past_answers()) or now > self._closes_until(self._closing_since)
+        return self.http_front.close_remaining(self._past_answers()) or now > self._closes_until(
+            self._closing_since
+        )
 
     def _may_end(self) -> bool:
         """Whether we may exit once all is answered."""
-        now, newer = self.core.clock.now(), self.handover.newer if self.handover is not None else None
-        if newer is not None and newer.given:
+        now, successor = self.core.clock.now(), self.handover.successor if self.handover is not None else None
+        if successor is not None and successor.pending_transfers:
             return False  # jobs on their way to it, which may have to come back
-        if self.handed_over_at is not None and not len(self.edge.connections):
-            return now > self.handed_over_at + LINGER
+        if self.handed_over_at is not None and not len(self.http_front.connections):
+            return now > self.handed_over_at + LINGER_MS
         schedule = self.schedule
-        if schedule is None or now < min(schedule.begun_at + LINGER, schedule.answers_by):
+        if schedule is None or now < min(schedule.begun_at + LINGER_MS, schedule.answers_by):
             return False
         wait = min(schedule.begun_at + SUCCESSOR_WITHIN, schedule.exits_by)
-        return newer is None or newer.serving or now > wait
+        return successor is None or successor.serving or now > wait
 
     def _is_anything_owed(self) -> bool:
         if any(not request.ended for request in self.core.requests.all()):
@@ -127,7 +131,7 @@
         # A job that is half sent is worth the wait, but those who begin one and stay must not keep us.
         schedule, now = self.schedule, self.core.clock.now()
         halves = schedule is not None and now < min(schedule.begun_at + HALF_SENT_FOR, schedule.answers_by)
-        if not self.edge.quiet(halves):
+        if not self.http_front.is_idle(halves):
             return True
         return self.gearman is not None and any(c.conn.unsent for c in self.gearman.connections.all())
 
@@ -140,11 +144,11 @@
         if self._closing_since is None or self.handed_over_at is not None or self._past_answers():
             return
         self._closing_since = None
-        self.edge.listener.start()
+        self.http_front.listener.start()
 
     def _closes_until(self, since: float) -> float:
         """Until when those who are still connected may see that we close."""
-        until = since + CLOSING_FOR
+        until = since + CLOSING_NOTICE_MS
         if self.schedule is None or since >= self.schedule.exits_by:
             return until
         return min(until, self.schedule.exits_by)
--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from eiderpin.net.management import Call
+from eiderpin.net.management import ManagementConnection
 from eiderpin.parts.store import NAME, address
 from eiderpin.store import state
 from eiderpin.store.host import StoreHost
@@ -48,9 +48,9 @@
 class Elsewhere:
     """While the process before us is still our member."""
 
-    most_line = 1 << 20
+    max_line_bytes = 1 << 20
 
-    def call(self, caller: Call, said: bytes) -> None:
+    def call(self, caller: ManagementConnection, said: bytes) -> None:
         """Say where to ask."""
         fail(caller, "no-leader", "the process beside this one is the member still: ask at its door")
 
@@ -58,12 +58,12 @@
 class StoreDoor:
     """The store's calls at a member's management address."""
 
-    most_line = 1 << 20
+    max_line_bytes = 1 << 20
 
     def __init__(self, host: StoreHost) -> None:
         """Answer for this member."""
         self.host, self.loop = host, host.loop
-        self.calls: dict[str, Callable[[Call, dict[str, Any]], None]] = {
+        self.calls: dict[str, Callable[[ManagementConnection, dict[str, Any]], None]] = {
             "status": self.status, "get": self.get, "range": self.range, "txn": self.transact,
             "watch": self.watch, "history": self.history, "grant": self.grant, "keep": self.keep,
             "revoke": self.revoke, "open": self.open, "close": self.close, "add": self.order,
@@ -71,7 +71,7 @@
             "snapshot": self.snapshot,
         }  # fmt: skip
 
-    def call(self, caller: Call, said: bytes) -> None:
+    def call(self, caller: ManagementConnection, said: bytes) -> None:
         """Carry out one line of JSON."""
         try:
             asked: Any = orjson.loads(said)
@@ -80,7 +80,7 @@
             call = self.calls.get(asked.get("op", ""))
             if call is None:
                 raise BadCall(f"op: {asked.get('op')!r}; there are {', '.join(self.calls)}")
-            caller.wait(self.within(asked) + 2000.0)
+            caller.set_timeout(self.within(asked) + 2000.0)
             self.host.counters.add(f"in.calls.store.{asked['op']}")
             call(caller, asked)
         except (orjson.JSONDecodeError, BadCall) as error:
@@ -96,11 +96,11 @@
 
     # -- reading
 
-    def status(self, caller: Call, asked: dict[str, Any]) -> None:
+    def status(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """How this member stands."""
         succeed(caller, **self.host.status())
 
-    def read(self, caller: Call, asked: dict[str, Any], then: Callable[[], None]) -> None:
+    def read(self, caller: ManagementConnection, asked: dict[str, Any], then: Callable[[], None]) -> None:
         """Once what is here covers all that was committed before; `stale`: as it is."""
         if asked.get("stale") is True:
             then()
@@ -114,7 +114,7 @@
 
         self.host.member.read(done, self.loop.clock.now(), self.within(asked))
 
-    def get(self, caller: Call, asked: dict[str, Any]) -> None:
+    def get(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """One document."""
         name = text(asked, "name")
 
@@ -127,7 +127,7 @@
 
         self.read(caller, asked, then)
 
-    def range(self, caller: Call, asked: dict[str, Any]) -> None:
+    def range(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """Documents by prefix, as many as fit one line."""
         prefix, after, most = text(asked, "prefix", ""), text(asked, "after", ""), number(asked, "most", 100)
 
@@ -145,7 +145,7 @@
 
         self.read(caller, asked, then)
 
-    def history(self, caller: Call, asked: dict[str, Any]) -> None:
+    def history(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """A document's changes that are still remembered."""
         name = text(asked, "name")
 
@@ -163,7 +163,7 @@
 
         self.read(caller, asked, then)
 
-    def watch(self, caller: Call, asked: dict[str, Any]) -> None:
+    def watch(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """A line for each change, until the caller goes."""
         member = self.host.member
         prefix, after = text(asked, "prefix", ""), number(asked, "after", member.store.revision)
@@ -179,37 +179,37 @@
                 return
             for revision, rows in itertools.groupby(events, lambda e: e.revision):
                 line = {"ok": True, "revision": revision, "events": [told(e) for e in rows]}
-                caller.say(orjson.dumps(line).decode())
+                caller.write_line(orjson.dumps(line).decode())
 
         def gone() -> None:
             if watch is not None:
                 member.unwatch(watch)
 
-        caller.wait(None)
-        caller.on_gone = gone
+        caller.set_timeout(None)
+        caller.on_disconnect = gone
         said = {"ok": True, "watching": prefix, "revision": after, "generation": generation}
-        caller.say(orjson.dumps(said).decode())
+        caller.write_line(orjson.dumps(said).decode())
         try:
             watch = member.watch(prefix, after, tell)
         except (Compacted, Refused) as error:
             failed(caller, error)
 
-    def snapshot(self, caller: Call, asked: dict[str, Any]) -> None:
+    def snapshot(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """All of it as lines of base64, the last of them empty; see `store restore`."""
 
         def then() -> None:
             image = self.host.member.store.image()
             head = {"ok": True, "bytes": len(image), "generation": self.host.member.born.generation}
-            caller.say(orjson.dumps(head).decode())
+            caller.write_line(orjson.dumps(head).decode())
             for at in range(0, len(image), PART):
-                caller.say(base64.b64encode(image[at : at + PART]).decode())
+                caller.write_line(base64.b64encode(image[at : at + PART]).decode())
             caller.reply("")
 
         self.read(caller, asked, then)
 
     # -- changing
 
-    def submit(self, caller: Call, asked: dict[str, Any], op: state.Operation) -> None:
+    def submit(self, caller: ManagementConnection, asked: dict[str, Any], op: state.Operation) -> None:
         """Have a command committed, and give the caller its answer."""
         client = text(asked, "client", "")
         first = number(asked, "number", 0) if client else self.host.member.rng.getrandbits(53)
@@ -227,7 +227,7 @@
 
         self.host.member.submit(client, first, op, done, self.loop.clock.now(), self.within(asked))
 
-    def transact(self, caller: Call, asked: dict[str, Any]) -> None:
+    def transact(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """Some changes at once, if what they expect holds."""
         ops: list[Put | Delete] = []
         for row in rows_of(asked, "puts"):
@@ -236,27 +236,27 @@
         compares = [Compare(text(row, "name"), number(row, "revision")) for row in rows_of(asked, "compares")]
         self.submit(caller, asked, Transaction(ops, compares))
 
-    def grant(self, caller: Call, asked: dict[str, Any]) -> None:
+    def grant(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """A lease."""
         self.submit(caller, asked, Grant(float(number(asked, "ttl_ms"))))
 
-    def keep(self, caller: Call, asked: dict[str, Any]) -> None:
+    def keep(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """Renew a lease."""
         self.submit(caller, asked, Keep(number(asked, "lease")))
 
-    def revoke(self, caller: Call, asked: dict[str, Any]) -> None:
+    def revoke(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """End a lease."""
         self.submit(caller, asked, Revoke(number(asked, "lease")))
 
-    def open(self, caller: Call, asked: dict[str, Any]) -> None:
+    def open(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """Begin a numbered client."""
         self.submit(caller, {**asked, "number": 0}, Open(text(asked, "client")))
 
-    def close(self, caller: Call, asked: dict[str, Any]) -> None:
+    def close(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """End a numbered client."""
         self.submit(caller, {**asked, "client": ""}, Close(text(asked, "client")))
 
-    def order(self, caller: Call, asked: dict[str, Any]) -> None:
+    def order(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
         """Change who the members are."""
         name, where = text(asked, "name"), ""
         if asked["op"] in ("add", "add-standby"):
@@ -282,18 +282,18 @@
 # -- JSON
 
 
-def succeed(caller: Call, **said: Any) -> None:
+def succeed(caller: ManagementConnection, **said: Any) -> None:
     """Reply that it was done, with these fields."""
     caller.reply(orjson.dumps({"ok": True, **said}).decode())
 
 
-def fail(caller: Call, kind: str, error: str) -> None:
+def fail(caller: ManagementConnection, kind: str, error: str) -> None:
     """Reply that it was not; `kind` is one of `KINDS`."""
     assert kind in KINDS
     caller.reply(orjson.dumps({"ok": False, "kind": kind, "error": error}).decode())
 
 
-def failed(caller: Call, error: Exception) -> None:
+def failed(caller: ManagementConnection, error: Exception) -> None:
     """Reply with what an exception says."""
     if isinstance(error, NotLeader):
         fail(caller, "no-leader", f"{error}: nothing has been changed")
--- a/eiderpin/store/hints.py
+++ b/eiderpin/store/hints.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from eiderpin.core.learned import Learned, check
+from eiderpin.core.learned import Learned, parse
 
 PREFIX = "learned/"
 OLDEST = 600_000.0  # ms of wall-clock time
@@ -27,7 +27,7 @@
     """None: it is too old, or its time makes no sense. Raises `ValueError`."""
     try:
         said: Any = orjson.loads(value)
-        at, learned = float(said["at"]), check(said["learned"])
+        at, learned = float(said["at"]), parse(said["learned"])
     except (orjson.JSONDecodeError, TypeError, KeyError, AttributeError, ValueError) as error:
         raise ValueError(f"no hint: {error!r}") from None
     return learned if now - OLDEST <= at <= now + AHEAD else None
--- a/eiderpin/store/orders.py
+++ b/eiderpin/store/orders.py
@@ -51,7 +51,7 @@
 
 
 class Orders:
-    """Implements `core.dispatcher.WorkerOrders`."""
+    """Implements `core.dispatcher.WorkerOverrides`."""
 
     def __init__(self) -> None:
         """Begin without orders."""
@@ -67,7 +67,7 @@
             self.orders[name] = order
         return True
 
-    def on(self, entry: WorkerEntry) -> WorkerEntry:
+    def apply(self, entry: WorkerEntry) -> WorkerEntry:
         """The worker as it is to be used. An order takes away, and never adds: one that drains by its
         source's word stays so, and a cap above what a worker has means nothing."""
         order = self.orders.get(entry.name)
