--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -26,7 +26,7 @@
 MOST_TURNS = 2000  # that a test waits for what a peer has done; each waits for 2 ms at most
 
 
-class HandClock(Clock):
+class ManualClock(Clock):
     def __init__(self) -> None:
         self.at = 1_000_000.0
 
@@ -58,14 +58,14 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.got = b""
+        self.received = b""
         self.ended = ""  # how it ended: "closed" or "reset" by the other end, or "by us"
         sock.setblocking(False)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def look(self) -> bytes:
+    def read_available(self) -> bytes:
         """All that has come by now."""
         with contextlib.suppress(BlockingIOError):
             while not self.ended:
@@ -74,13 +74,13 @@
                 except ConnectionResetError:
                     self.ended = "reset"
                     break
-                self.got += data
+                self.received += data
                 if not data:
                     self.ended = "closed"
-        return self.got
+        return self.received
 
     def close(self) -> None:
-        self.look()  # a close over unread bytes would be a reset
+        self.read_available()  # a close over unread bytes would be a reset
         self.ended = self.ended or "by us"
         self.sock.close()
 
@@ -90,7 +90,7 @@
 
     def requests(self) -> list[bytes]:
         """The requests that have come whole: a worker begins a job at its last byte."""
-        rest, whole = self.look(), []
+        rest, whole = self.read_available(), []
         while b"\r\n\r\n" in rest:
             head, _, body = rest.partition(b"\r\n\r\n")
             length = 0
@@ -134,35 +134,37 @@
         self.sock.close()
 
 
-def http(status: int, *headers: str, body: bytes = b"") -> bytes:
+def http_response(status: int, *headers: str, body: bytes = b"") -> bytes:
     """A worker's or discovery's answer."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def job(cls: str, rid: str, wait: int = 5000, body: bytes = b"") -> bytes:
+def job_request(cls: str, rid: str, wait: int = 5000, body: bytes = b"") -> bytes:
     head = f"POST /{cls} HTTP/1.1\r\nReq-Id: {rid}\r\nReq-Deadline-Ms: {wait}\r\nContent-Length: {len(body)}"
     return head.encode() + b"\r\n\r\n" + body
 
 
-def told(rid: str, worker: str, state: str, **more: Any) -> bytes:
+def callback_request(rid: str, worker: str, state: str, **more: Any) -> bytes:
     """A worker's call-back."""
     body = json.dumps({"id": rid, "from": worker, "state": state, **more}).encode()
     return b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-class Stage:
+class Harness:
     """The dispatcher and its peers."""
 
     def __init__(
         self, workers: int = 2, gearman: bool = False, settings: dict[str, Any] | None = None, **config: Any
     ) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.gate = Gate()
         self.workers = [Worker(f"w{i}") for i in range(workers)]
         self.clients: list[Peer] = []
-        self.wall_ahead = 0.0  # ms by which the wall clock shows more than ours
-        self._wall = mock.patch.object(wall_clock, "read_wall", lambda: self.clock.at + self.wall_ahead)
+        self.wall_clock_ahead_ms = 0.0  # ms by which the wall clock shows more than ours
+        self._wall = mock.patch.object(
+            wall_clock, "read_wall", lambda: self.clock.at + self.wall_clock_ahead_ms
+        )
         self._wall.start()
         said: dict[str, Any] = {"name": "t1", "listen": "127.0.0.1:0", "seed": "1f",
                                 "settings": {**SETTINGS, **(settings or {})}}  # fmt: skip
@@ -190,7 +192,7 @@
             worker.close()
         for connection in self.loop.connections.all():
             connection.close()
-        for front in (self.service.edge, self.service.gearman):
+        for front in (self.service.http_front, self.service.gearman):
             if front is not None:
                 front.listener.sock.close()
         self.gate.close()
@@ -201,32 +203,32 @@
         self.clients.append(peer)
         return peer
 
-    def turn(self, times: int = 1, wait: float = 2.0) -> None:
+    def run_turns(self, times: int = 1, wait: float = 2.0) -> None:
         for _ in range(times):
-            self.loop.once(self.service.after_turn, wait)
+            self.loop.run_once(self.service.after_turn, wait)
 
-    def until(self, what: Callable[[], Any], text: str) -> Any:
+    def run_until(self, what: Callable[[], Any], text: str) -> Any:
         """Turn the loop until `what` is true; time stands still."""
         for _ in range(MOST_TURNS):
             if got := what():
                 return got
-            self.turn()
+            self.run_turns()
         raise AssertionError(f"waited in vain for {text}")
 
-    def pass_time(self, ms: float) -> None:
+    def advance_clock(self, ms: float) -> None:
         """Let the clock run, from deadline to deadline, with a turn at each."""
         until = self.clock.at + ms
         while self.loop.deadlines.next_at() <= until:
             self.clock.at = max(self.clock.at, self.loop.deadlines.next_at())
-            self.turn(wait=0.0)
+            self.run_turns(wait=0.0)
         self.clock.at = until
-        self.turn(wait=0.0)
+        self.run_turns(wait=0.0)
 
-    def hold(self, what: Callable[[Connection], bool]) -> None:
-        """The loop sees nothing of these connections until `let`."""
+    def hold_back(self, what: Callable[[Connection], bool]) -> None:
+        """The loop sees nothing of these connections until `release_held`."""
         self.gate.holds = lambda who: isinstance(who, Connection) and what(who)
 
-    def let(self) -> None:
+    def release_held(self) -> None:
         self.gate.holds = lambda who: False
 
     def first(self, what: Callable[[Connection], bool]) -> None:
@@ -236,19 +238,19 @@
     def begun(self) -> list[str]:
         return [rid for worker in self.workers for rid in worker.begun()]
 
-    def counted(self, name: str) -> int:
+    def counter_value(self, name: str) -> int:
         return self.service.counters.counts[name]
 
 
 @contextlib.contextmanager
-def staged(workers: int = 2, **more: Any) -> Iterator[Stage]:
-    stage = Stage(workers, **more)
+def running_harness(workers: int = 2, **more: Any) -> Iterator[Harness]:
+    harness = Harness(workers, **more)
     try:
-        yield stage
+        yield harness
     finally:
-        stage.close()
+        harness.close()
 
 
-def to_worker(conn: Connection) -> bool:
-    """Whether it leads to a worker; for `Stage.hold` and `first`."""
+def leads_to_worker(conn: Connection) -> bool:
+    """Whether it leads to a worker; for `Harness.hold_back` and `first`."""
     return getattr(conn.on_data, "__self__", None).__class__.__name__ == "WorkerConnection"
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -42,7 +42,7 @@
     d.handle(1005.0, [api.Beside({"w0": (4.0, 0.0)})])
     d.handle(1006.0, [api.Beside(gone=True)])
     assert explain.worker(d, "w0")["others"] == pytest.approx(4.0)
-    d.handle(1006.0 + 10 * d.run_mean, [])
+    d.handle(1006.0 + 10 * d.mean_run_ms, [])
     assert explain.worker(d, "w0")["others"] < 0.1
 
 
@@ -50,7 +50,7 @@
     settings = make_settings(instances=1)
     d = started(settings, 1, born=990.0)
     assert asked(d, 1)
-    (told,) = [d.beside().holds["w0"]]
+    (told,) = [d.describe_commitments().holds["w0"]]
     assert told[1] > 0
     other = started(settings, 1, born=990.0)
     other.handle(1005.0, [api.Beside({"w0": (0.0, 1e6)})])
@@ -60,15 +60,15 @@
 def test_what_was_learned_is_taken_over_before_the_first_run_only() -> None:
     settings = make_settings(tells_start=True, ratings=False, instances=1)
     old, new = started(settings), started(settings)
-    assert learned.of(old) == {}
-    learned.take(old, {"shapes": {"std": (7.0, 3.0, 1.5, 900.0, 600.0)},
+    assert learned.collect(old) == {}
+    learned.apply_to(old, {"shapes": {"std": (7.0, 3.0, 1.5, 900.0, 600.0)},
                        "workers": {"w1": (2.0, 4.0, 2.0, 0.5)},
                        "fleet": {"": (800.0, 900.0, 600.0)}})  # fmt: skip
-    learned.take(new, learned.of(old))
+    learned.apply_to(new, learned.collect(old))
     for d in (old, new):
         facts = explain.worker(d, "w1")
         assert (facts["slots"], facts["slowness"]) == (7.0, pytest.approx(3.0))
         assert d.faulty(d.workers["w1"])
-        assert (d.run_mean, d.slow_mean, d.shapes["std"].misses) == (800.0, 1.5, 3)
-    learned.take(new, {"shapes": {"std": (2.0, 0.0, 9.0, 9.0, 1.0)}})
+        assert (d.mean_run_ms, d.mean_slowdown, d.shapes["std"].failed_slot_trials) == (800.0, 1.5, 3)
+    learned.apply_to(new, {"shapes": {"std": (2.0, 0.0, 9.0, 9.0, 1.0)}})
     assert explain.worker(new, "w0")["slots"] == 7.0
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -15,179 +15,191 @@
 from eiderpin.net import loop as loops
 from eiderpin.net.gearman import Kind, pack
 from eiderpin.net.loop import Connection
-from tests.crossing import Peer, Stage, http, job, staged, to_worker, told
+from tests.crossing import (
+    Harness,
+    Peer,
+    callback_request,
+    http_response,
+    job_request,
+    leads_to_worker,
+    running_harness,
+)
 
 HEALTH = b"GET /_health HTTP/1.1\r\n\r\n"
 
 
-def rested(stage: Stage) -> Peer:
+def rested(harness: Harness) -> Peer:
     """A client that has had an answer, and rests."""
-    client = stage.client()
-    client.say(HEALTH)
-    stage.until(client.look, "an answer")
-    client.got = b""
+    client = harness.client()
+    client.send(HEALTH)
+    harness.run_until(client.read_available, "an answer")
+    client.received = b""
     return client
 
 
-def served(stage: Stage, client: Peer, rid: str, answer: bool = True) -> None:
+def served(harness: Harness, client: Peer, rid: str, answer: bool = True) -> None:
     """See that its job begins, and tell that it is done."""
-    stage.pass_time(40)
-    name = stage.until(lambda: [w.name for w in stage.workers if rid in w.begun()], "the job to begin")[0]
-    for worker in stage.workers:
+    harness.advance_clock(40)
+    name = harness.run_until(
+        lambda: [w.name for w in harness.workers if rid in w.begun()], "the job to begin"
+    )[0]
+    for worker in harness.workers:
         for peer in worker.peers:
-            if not peer.ended and f"Req-Id: {rid}".encode() in peer.got:
-                peer.say(http(202))
-    stage.turn(3)
-    stage.client().say(told(rid, name, "done", result="ok"))
+            if not peer.ended and f"Req-Id: {rid}".encode() in peer.received:
+                peer.send(http_response(202))
+    harness.run_turns(3)
+    harness.client().send(callback_request(rid, name, "done", result="ok"))
     if answer:
-        stage.until(lambda: b"200 OK" in client.look(), "the answer")
+        harness.run_until(lambda: b"200 OK" in client.read_available(), "the answer")
 
 
-def sigterm(stage: Stage) -> None:
-    stage.service.stop()
-    stage.pass_time(edges.AWAY_EVERY)
+def sigterm(harness: Harness) -> None:
+    harness.service.stop()
+    harness.advance_clock(edges.AWAY_EVERY)
 
 
-def drain(stage: Stage) -> None:
-    stage.service.drain()
-    stage.pass_time(services.SETTLE + edges.AWAY_EVERY)
+def drain(harness: Harness) -> None:
+    harness.service.drain()
+    harness.advance_clock(services.SETTLE + edges.AWAY_EVERY)
 
 
-def long_idle(stage: Stage) -> None:
-    stage.pass_time(edges.IDLE_LIMIT + 2 * edges.SWEEP)
+def long_idle(harness: Harness) -> None:
+    harness.advance_clock(edges.IDLE_LIMIT + 2 * edges.SWEEP)
 
 
-CLOSES: dict[str, Callable[[Stage], None]] = {"SIGTERM": sigterm, "drain": drain, "long idle": long_idle}
+CLOSES: dict[str, Callable[[Harness], None]] = {"SIGTERM": sigterm, "drain": drain, "long idle": long_idle}
 
 
 class RestingClients(unittest.TestCase):
     def test_a_request_that_is_there_before_the_close_is_answered(self) -> None:
         for name, close in CLOSES.items():
-            with self.subTest(close=name), staged() as stage:
-                client = rested(stage)
-                front = stage.loop.connections.all()
-                stage.hold(lambda conn, front=front: conn in front)
-                client.say(job("time-lookup", "a"))
-                close(stage)
-                stage.let()
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                served(stage, client, "a")
-                self.assertEqual(client.look().count(b"HTTP/1.1 "), 1)
+            with self.subTest(close=name), running_harness() as harness:
+                client = rested(harness)
+                front = harness.loop.connections.all()
+                harness.hold_back(lambda conn, front=front: conn in front)
+                client.send(job_request("time-lookup", "a"))
+                close(harness)
+                harness.release_held()
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                served(harness, client, "a")
+                self.assertEqual(client.read_available().count(b"HTTP/1.1 "), 1)
 
     def test_one_that_comes_after_it_is_not_taken(self) -> None:
         """The client sees an orderly end and no answer, and sends it again elsewhere; nothing is sent on."""
         for name, close in CLOSES.items():
-            with self.subTest(close=name), staged() as stage:
-                client = rested(stage)
-                close(stage)
-                self.assertEqual(client.look(), b"")
+            with self.subTest(close=name), running_harness() as harness:
+                client = rested(harness)
+                close(harness)
+                self.assertEqual(client.read_available(), b"")
                 self.assertEqual(client.ended, "closed")
-                client.say(job("time-lookup", "a"))
-                stage.turn(5)
-                stage.pass_time(500)
-                self.assertEqual((stage.begun(), client.ended), ([], "closed"))
+                client.send(job_request("time-lookup", "a"))
+                harness.run_turns(5)
+                harness.advance_clock(500)
+                self.assertEqual((harness.begun(), client.ended), ([], "closed"))
                 client.close()
-                stage.until(lambda s=stage: not len(s.service.edge.connections), "its end")
+                harness.run_until(lambda s=harness: not len(s.service.http_front.connections), "its end")
 
     def test_one_that_never_ends_its_side_is_closed_all_the_same(self) -> None:
-        with staged() as stage:
-            client = rested(stage)
-            sigterm(stage)
+        with running_harness() as harness:
+            client = rested(harness)
+            sigterm(harness)
             for _ in range(5):
-                client.say(b"x" * 1000)
-                stage.turn(2)
-            stage.pass_time(loops.LINGER + 100)
-            self.assertEqual(len(stage.service.edge.connections), 0)
+                client.send(b"x" * 1000)
+                harness.run_turns(2)
+            harness.advance_clock(loops.LINGER_MS + 100)
+            self.assertEqual(len(harness.service.http_front.connections), 0)
 
     def test_gearman_clients_that_rest_are_closed_as_carefully(self) -> None:
         echo = pack(Kind.ECHO_REQ, b"there?", magic=b"\0REQ")
         for asks_first in (True, False):
-            with self.subTest(asks_first=asks_first), staged(gearman=True) as stage:
-                client = stage.client("gearman")
-                stage.turn(3)
-                front = stage.loop.connections.all()
-                stage.hold(lambda conn, front=front: conn in front)
+            with self.subTest(asks_first=asks_first), running_harness(gearman=True) as harness:
+                client = harness.client("gearman")
+                harness.run_turns(3)
+                front = harness.loop.connections.all()
+                harness.hold_back(lambda conn, front=front: conn in front)
                 if asks_first:
-                    client.say(echo)
-                stage.service.stop()
-                stage.pass_time(services.SETTLE + 50)
+                    client.send(echo)
+                harness.service.stop()
+                harness.advance_clock(services.SETTLE + 50)
                 if not asks_first:
-                    client.say(echo)
-                stage.let()
-                stage.turn(5)
-                self.assertEqual(b"there?" in client.look(), asks_first)
+                    client.send(echo)
+                harness.release_held()
+                harness.run_turns(5)
+                self.assertEqual(b"there?" in client.read_available(), asks_first)
                 self.assertEqual(client.ended, "" if asks_first else "closed")
 
     def test_who_says_nothing_is_closed_in_order_within_3_s(self) -> None:
         for late in (False, True):
-            with self.subTest(late=late), staged() as stage:
-                client = stage.client()
-                stage.turn(3)
-                stage.pass_time(3000)
-                client.look()
+            with self.subTest(late=late), running_harness() as harness:
+                client = harness.client()
+                harness.run_turns(3)
+                harness.advance_clock(3000)
+                client.read_available()
                 self.assertEqual(client.ended, "closed")
                 if late:
-                    client.say(job("time-lookup", "a"))
-                    stage.turn(3)
-                    stage.pass_time(300)
-                    self.assertEqual(stage.begun(), [])
+                    client.send(job_request("time-lookup", "a"))
+                    harness.run_turns(3)
+                    harness.advance_clock(300)
+                    self.assertEqual(harness.begun(), [])
 
 
 class LastWords(unittest.TestCase):
     def test_what_is_unread_behind_a_request_takes_no_answer_with_it(self) -> None:
         """The last answer on a connection crosses more that its client sends: a reset would destroy it."""
         for why, more, read in itertools.product(
-            ("asked", "SIGTERM"), (b"P", job("time-lookup", "b")[:40], job("time-lookup", "b")), (False, True)
+            ("asked", "SIGTERM"),
+            (b"P", job_request("time-lookup", "b")[:40], job_request("time-lookup", "b")),
+            (False, True),
         ):
-            with self.subTest(why=why, more=more[:10], read=read), staged() as stage:
-                client = stage.client()
-                asks = job("time-lookup", "a")
+            with self.subTest(why=why, more=more[:10], read=read), running_harness() as harness:
+                client = harness.client()
+                asks = job_request("time-lookup", "a")
                 if why == "asked":
                     asks = asks.replace(b"Req-Id", b"Connection: close\r\nReq-Id")
-                client.say(asks)
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
+                client.send(asks)
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 if why == "SIGTERM":
-                    sigterm(stage)
-                front = [c for c in stage.loop.connections.all() if not to_worker(c)]
+                    sigterm(harness)
+                front = [c for c in harness.loop.connections.all() if not leads_to_worker(c)]
                 if not read:
-                    stage.hold(lambda conn, front=front: conn in front)
-                client.say(more)
-                stage.turn(3)
+                    harness.hold_back(lambda conn, front=front: conn in front)
+                client.send(more)
+                harness.run_turns(3)
                 if why == "asked" and read:  # after Connection: close nothing may come
-                    stage.until(lambda c=client: c.look() and c.ended, "its end")
-                    self.assertEqual((client.ended, client.got[:13]), ("closed", b"HTTP/1.1 400 "))
+                    harness.run_until(lambda c=client: c.read_available() and c.ended, "its end")
+                    self.assertEqual((client.ended, client.received[:13]), ("closed", b"HTTP/1.1 400 "))
                     continue
-                served(stage, client, "a")
-                stage.let()
-                stage.turn(5)
+                served(harness, client, "a")
+                harness.release_held()
+                harness.run_turns(5)
                 # A whole request that was read behind another is owed its answer as well.
                 taken = ["a", "b"] if read and more.endswith(b"\r\n\r\n") else ["a"]
                 if "b" in taken:
-                    client.got = b""
-                    served(stage, client, "b")
-                stage.until(lambda c=client: c.look() and c.ended, "its end")
-                self.assertEqual((client.ended, client.got.count(b"HTTP/1.1 200")), ("closed", 1))
-                self.assertEqual(sorted(stage.begun()), taken)
+                    client.received = b""
+                    served(harness, client, "b")
+                harness.run_until(lambda c=client: c.read_available() and c.ended, "its end")
+                self.assertEqual((client.ended, client.received.count(b"HTTP/1.1 200")), ("closed", 1))
+                self.assertEqual(sorted(harness.begun()), taken)
 
     def test_an_error_reaches_a_client_that_goes_on_sending(self) -> None:
-        with staged() as stage:
-            client = stage.client()
-            client.say(b"GET /nothing-here HTTP/1.1\r\n\r\n" + b"x" * 200_000)
-            stage.until(lambda: client.look() and client.ended, "its end")
+        with running_harness() as harness:
+            client = harness.client()
+            client.send(b"GET /nothing-here HTTP/1.1\r\n\r\n" + b"x" * 200_000)
+            harness.run_until(lambda: client.read_available() and client.ended, "its end")
             self.assertEqual(client.ended, "closed")
-            self.assertIn(b"HTTP/1.1 4", client.got)
+            self.assertIn(b"HTTP/1.1 4", client.received)
 
     def test_small_writes_are_not_held_back(self) -> None:
         """TCP_NODELAY on what is accepted and on what is connected."""
         import socket
 
-        with staged() as stage:
-            client = stage.client()
-            client.say(job("time-lookup", "a"))
-            stage.until(lambda: stage.core.outstanding, "the job")
-            stage.pass_time(40)
-            conns = stage.loop.connections.all()
-            self.assertEqual(sorted(to_worker(c) for c in conns), [False, True])
+        with running_harness() as harness:
+            client = harness.client()
+            client.send(job_request("time-lookup", "a"))
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            harness.advance_clock(40)
+            conns = harness.loop.connections.all()
+            self.assertEqual(sorted(leads_to_worker(c) for c in conns), [False, True])
             for conn in conns:
                 self.assertTrue(conn.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
@@ -195,10 +207,10 @@
 class Ending(unittest.TestCase):
     """From SIGTERM to the exit: `over` is what the program asks after each turn."""
 
-    def until_over(self, stage: Stage, most: float = 20_000) -> float:
+    def until_over(self, harness: Harness, most: float = 20_000) -> float:
         passed = 0.0
-        while not stage.service.over():
-            stage.pass_time(20)
+        while not harness.service.over():
+            harness.advance_clock(20)
             passed += 20
             self.assertLess(passed, most)
         return passed
@@ -206,104 +218,108 @@
     def test_input_that_waits_in_the_last_turn_is_answered_first(self) -> None:
         """All is answered and its time has come; a request lies unread on a connection that it never saw."""
         for new in (False, True):
-            with self.subTest(new=new), staged() as stage:
-                client = rested(stage)
-                stage.hold(lambda conn: isinstance(conn, Connection))
+            with self.subTest(new=new), running_harness() as harness:
+                client = rested(harness)
+                harness.hold_back(lambda conn: isinstance(conn, Connection))
                 if not new:
-                    client.say(job("time-lookup", "a"))
-                stage.service.stop()
+                    client.send(job_request("time-lookup", "a"))
+                harness.service.stop()
                 if new:
-                    stage.pass_time(150)
-                    client = stage.client()
-                    client.say(job("time-lookup", "a"))
-                stage.pass_time(shutdown.LINGER + 20)
-                self.assertFalse(stage.service.over())
-                stage.let()
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                self.assertFalse(stage.service.over())
-                served(stage, client, "a")
-                self.until_over(stage)
+                    harness.advance_clock(150)
+                    client = harness.client()
+                    client.send(job_request("time-lookup", "a"))
+                harness.advance_clock(shutdown.LINGER_MS + 20)
+                self.assertFalse(harness.service.over())
+                harness.release_held()
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                self.assertFalse(harness.service.over())
+                served(harness, client, "a")
+                self.until_over(harness)
 
     def test_resting_clients_are_closed_in_order_and_then_it_ends(self) -> None:
-        with staged() as stage:
-            clients = [rested(stage) for _ in range(5)] + [stage.client() for _ in range(5)]
-            stage.service.stop()
+        with running_harness() as harness:
+            clients = [rested(harness) for _ in range(5)] + [harness.client() for _ in range(5)]
+            harness.service.stop()
             passed = 0.0
-            while not stage.service.over():
-                stage.pass_time(20)
+            while not harness.service.over():
+                harness.advance_clock(20)
                 passed += 20
                 for client in clients:
-                    client.look()
+                    client.read_available()
                     if client.ended == "closed":
                         client.close()
-            self.assertLess(passed, shutdown.LINGER + shutdown.CLOSING_FOR)
+            self.assertLess(passed, shutdown.LINGER_MS + shutdown.CLOSING_NOTICE_MS)
             self.assertEqual({c.ended for c in clients}, {"closed"})
-            self.assertEqual(len(stage.service.edge.connections), 0)
+            self.assertEqual(len(harness.service.http_front.connections), 0)
 
     def test_a_job_that_comes_at_the_very_end_by_the_other_front_is_served(self) -> None:
         """The HTTP listener has gone already; the job's worker can call back all the same."""
-        with staged(gearman=True) as stage:
-            resting, late = rested(stage), stage.client("gearman")
-            stage.turn(3)
-            late.say(pack(Kind.CAN_DO, b"no-class-of-ours", magic=b"\0REQ"))  # a worker's, so it stays
-            stage.turn(3)
-            stage.service.stop()
-            stage.pass_time(shutdown.LINGER + 50)
-            while stage.service.edge.listener.on:
-                self.assertFalse(stage.service.over())
-                stage.pass_time(20)
-            late.say(pack(Kind.SUBMIT_JOB, b"time-lookup", b"g", b"", magic=b"\0REQ"))
-            stage.until(lambda: stage.core.outstanding, "the job")
-            self.assertFalse(stage.service.over())
-            stage.pass_time(40)
-            name = stage.until(lambda: [w.name for w in stage.workers if "g" in w.begun()], "it to begin")[0]
-            stage.client().say(told("g", name, "done", result="ok"))
-            stage.until(lambda: b"ok" in late.look(), "its result")
-            self.until_over(stage)
-            resting.look()
+        with running_harness(gearman=True) as harness:
+            resting, late = rested(harness), harness.client("gearman")
+            harness.run_turns(3)
+            late.send(pack(Kind.CAN_DO, b"no-class-of-ours", magic=b"\0REQ"))  # a worker's, so it stays
+            harness.run_turns(3)
+            harness.service.stop()
+            harness.advance_clock(shutdown.LINGER_MS + 50)
+            while harness.service.http_front.listener.accepting:
+                self.assertFalse(harness.service.over())
+                harness.advance_clock(20)
+            late.send(pack(Kind.SUBMIT_JOB, b"time-lookup", b"g", b"", magic=b"\0REQ"))
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            self.assertFalse(harness.service.over())
+            harness.advance_clock(40)
+            name = harness.run_until(
+                lambda: [w.name for w in harness.workers if "g" in w.begun()], "it to begin"
+            )[0]
+            harness.client().send(callback_request("g", name, "done", result="ok"))
+            harness.run_until(lambda: b"ok" in late.read_available(), "its result")
+            self.until_over(harness)
+            resting.read_available()
             self.assertEqual(resting.ended, "closed")
 
     def test_those_who_never_end_do_not_keep_it(self) -> None:
         """Who rests after our end, who sends half a request and stays, workers that hang."""
-        with staged() as stage:
-            resting, half, busy = rested(stage), stage.client(), stage.client()
-            half.say(job("time-lookup", "h")[:30])
-            busy.say(job("result-post", "a", wait=1500))
-            stage.until(lambda: stage.core.outstanding, "the job")
-            stage.pass_time(40)
-            stage.service.stop()
-            took = self.until_over(stage, 5000)
+        with running_harness() as harness:
+            resting, half, busy = rested(harness), harness.client(), harness.client()
+            half.send(job_request("time-lookup", "h")[:30])
+            busy.send(job_request("result-post", "a", wait=1500))
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            harness.advance_clock(40)
+            harness.service.stop()
+            took = self.until_over(harness, 5000)
             self.assertGreater(took, 1000)  # the job's answer was waited for
-            self.assertEqual(busy.look().count(b"HTTP/1.1 500"), 1)
-            self.assertEqual(half.look().count(b"HTTP/1.1 "), 1)  # an error, or that it was turned down
-            resting.look()
+            self.assertEqual(busy.read_available().count(b"HTTP/1.1 500"), 1)
+            self.assertEqual(
+                half.read_available().count(b"HTTP/1.1 "), 1
+            )  # an error, or that it was turned down
+            resting.read_available()
             self.assertEqual(resting.ended, "closed")
 
     def test_clients_that_send_on_every_open_connection_lose_nothing(self) -> None:
         """Each either gets its answer or an orderly end without one, and what was not answered never ran."""
-        with staged() as stage:
-            clients = [rested(stage) for _ in range(12)]
-            stage.service.stop()
+        with running_harness() as harness:
+            clients = [rested(harness) for _ in range(12)]
+            harness.service.stop()
             sent: dict[str, Peer] = {}
             for step in range(90):
-                stage.pass_time(10)
+                harness.advance_clock(10)
                 for i, client in enumerate(clients):
-                    client.look()
+                    client.read_available()
                     if not client.ended and step % 12 == i:
                         rid = f"r{step}"
-                        client.got = b""
-                        client.say(job("time-lookup", rid))
+                        client.received = b""
+                        client.send(job_request("time-lookup", rid))
                         sent[rid] = client
-                for worker in stage.workers:
+                for worker in harness.workers:
                     for rid in worker.begun():
                         if rid not in self.told:
                             self.told.add(rid)
-                            stage.client().say(told(rid, worker.name, "done", result=rid))
-            self.until_over(stage)
+                            harness.client().send(callback_request(rid, worker.name, "done", result=rid))
+            self.until_over(harness)
             for rid, client in sent.items():
-                client.look()
-                answered = rid.encode() in client.got and b"200 OK" in client.got
-                self.assertEqual(answered, rid in stage.begun(), rid)
+                client.read_available()
+                answered = rid.encode() in client.received and b"200 OK" in client.received
+                self.assertEqual(answered, rid in harness.begun(), rid)
 
     def setUp(self) -> None:
         self.told: set[str] = set()
@@ -313,29 +329,30 @@
     def test_a_flood_is_refused_and_leaves_nothing_behind(self) -> None:
         """Many requests at once, much at once, half a request: then gone, or staying. Others are served."""
         floods = [
-            job("time-lookup", "f") * 2000, b"A" * 300_000, job("result-post", "f", body=bytes(60_000)) * 8,
+            job_request("time-lookup", "f") * 2000, b"A" * 300_000,
+            job_request("result-post", "f", body=bytes(60_000)) * 8,
             b"POST /time-lookup HTTP/1.1\r\nContent-Length: 9999\r\n\r\n" + b"x" * 100, b"\r\n" * 50_000,
         ]  # fmt: skip
         for flood, way in itertools.product(floods, ("close", "reset", "stay")):
-            with self.subTest(flood=flood[:12], way=way), staged(workers=6) as stage:
-                floody = [stage.client() for _ in range(10)]
+            with self.subTest(flood=flood[:12], way=way), running_harness(workers=6) as harness:
+                floody = [harness.client() for _ in range(10)]
                 for peer in floody:
                     with contextlib.suppress(BlockingIOError):
                         peer.sock.send(flood)
-                    stage.turn()
+                    harness.run_turns()
                     if way != "stay":
                         (peer.reset if way == "reset" else peer.close)()
-                other = stage.client()
-                other.say(job("time-lookup", "other"))
-                stage.until(lambda s=stage: s.core.request_of("other"), "the other's job")
-                served(stage, other, "other")
+                other = harness.client()
+                other.send(job_request("time-lookup", "other"))
+                harness.run_until(lambda s=harness: s.core.request_of("other"), "the other's job")
+                served(harness, other, "other")
                 for _ in range(60):
-                    stage.pass_time(100)
+                    harness.advance_clock(100)
                     for peer in floody:
-                        peer.look()
-                edge = stage.service.edge
+                        peer.read_available()
+                edge = harness.service.http_front
                 if way == "stay":
-                    ended = [p for p in floody if p.ended or b"HTTP/1.1 " in p.got]
+                    ended = [p for p in floody if p.ended or b"HTTP/1.1 " in p.received]
                     self.assertEqual(len(ended), 10)
                     continue
                 self.assertLessEqual(len(edge.connections), 2)
@@ -345,29 +362,29 @@
         """The kernel refuses each accept: the listener rests between two tries, and wakes."""
         import errno
 
-        with staged() as stage:
-            listener = stage.service.edge.listener
+        with running_harness() as harness:
+            listener = harness.service.http_front.listener
             tries: list[float] = []
 
             class Full:
                 def accept(self) -> object:
-                    tries.append(stage.clock.at)
+                    tries.append(harness.clock.at)
                     raise OSError(errno.EMFILE, "none left")
 
                 def __getattr__(self, name: str) -> object:
                     return getattr(sock, name)
 
             sock = listener.sock
-            client = stage.client()
-            client.say(HEALTH)
+            client = harness.client()
+            client.send(HEALTH)
             with mock.patch.object(listener, "sock", Full()):
                 for _ in range(50):
-                    stage.pass_time(10)
-                    stage.turn(3, wait=0.0)
-            self.assertLess(len(tries), 500 / loops.REST + 2)
+                    harness.advance_clock(10)
+                    harness.run_turns(3, wait=0.0)
+            self.assertLess(len(tries), 500 / loops.SUSPEND_MS + 2)
             self.assertGreater(len(tries), 10)
-            stage.pass_time(loops.REST)
-            self.assertIn(b"HTTP/1.1 ", stage.until(client.look, "an answer"))
+            harness.advance_clock(loops.SUSPEND_MS)
+            self.assertIn(b"HTTP/1.1 ", harness.run_until(client.read_available, "an answer"))
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -48,7 +48,7 @@
         rows = [entry(f"w{i}", rating=1.0, slots=SLOTS, born=1000.0) for i in range(workers)]
         for d in self.fleet:
             # Learned before: runs take a second.
-            d.run_mean = RUN
+            d.mean_run_ms = RUN
             d.handle(1000.0, [listed(rows)])
         self.calls: list[tuple[float, float]] = []  # when, and how much work, to the watched one
         ids, due = count(1), count()
@@ -126,7 +126,7 @@
             sent = 0
             for i in range(instances):
                 d = Dispatcher(settings(instances, i), seed * 1000 + i)
-                d.run_mean = RUN
+                d.mean_run_ms = RUN
                 rows = [entry(f"w{k}", rating=1.0, slots=SLOTS, born=1000.0) for k in range(20)]
                 d.handle(1000.0, [listed(rows)])
                 worker, job = d.workers[f"w{seed}"], api.Request(1, "read", 8000.0, hint=RUN)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,14 +11,14 @@
 from eiderpin.core import invariants
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Clock, Deadlines
-from eiderpin.core.requests import Answer, Attempt, Request, ServiceEntry, Verdict
+from eiderpin.core.requests import Answer, Attempt, Endpoint, Request, Verdict
 from eiderpin.core.slot_table import SlotTable, TableFull
-from eiderpin.decide import SLOTS_GUESS
+from eiderpin.decide import DEFAULT_SLOTS
 from eiderpin.decide import Dispatcher as Module
 from eiderpin.net.loop import Connection, Loop
 
 
-class HandClock(Clock):
+class ManualClock(Clock):
     def __init__(self) -> None:
         self.at = 1_000_000.0
 
@@ -42,9 +42,9 @@
     def cancel(self, attempt: Attempt) -> None:
         self.cancelled.append(attempt)
 
-    def probe(self, entry: ServiceEntry) -> None: ...
+    def probe(self, endpoint: Endpoint) -> None: ...
 
-    def entry_changed(self, entry: ServiceEntry) -> None: ...
+    def endpoint_changed(self, endpoint: Endpoint) -> None: ...
 
 
 class Client:
@@ -56,7 +56,7 @@
 
     def progress(self, request: Request, share: float) -> None: ...
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None: ...
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None: ...
 
     def has_left(self) -> bool:
         return False
@@ -68,7 +68,7 @@
 
 class Bench(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.deadlines, self.counters = HandClock(), Deadlines(), Counters()
+        self.clock, self.deadlines, self.counters = ManualClock(), Deadlines(), Counters()
         classes = [
             api.RequestClass("look", aim=2000, deadline=7000, repeat=api.Repeat.FREE),
             api.RequestClass("post", aim=2000, deadline=7000),
@@ -83,10 +83,10 @@
 
     def list(self, *entries: api.WorkerEntry, link: Link | None = None) -> None:
         kind = api.ListKind.COMPLETE
-        self.core.list_told(link or self.link, kind, [(e, e.name) for e in entries])
+        self.core.apply_worker_list(link or self.link, kind, [(e, e.name) for e in entries])
         self.core.decide()
 
-    def pass_time(self, ms: float) -> None:
+    def advance_clock(self, ms: float) -> None:
         until = self.clock.at + ms
         while self.deadlines.next_at() <= until:
             self.clock.at = max(self.clock.at, self.deadlines.next_at())
@@ -113,22 +113,22 @@
 
     def test_a_drain_is_looked_at_again_just_before_the_write(self) -> None:
         self.submit("look", "a")
-        self.pass_time(100)
+        self.advance_clock(100)
         (sent,) = self.link.sent
-        gone = entry(sent.entry.name, api.WorkerState.DRAINING)
+        gone = entry(sent.endpoint.name, api.WorkerState.DRAINING)
         self.list(gone, entry("w3"))
         # Of the 500 ms of grace 200 are kept: the write may be held up for 150.
         for after, may in ((0, True), (290, True), (20, False), (150, False), (100, False)):
-            self.pass_time(after)
+            self.advance_clock(after)
             self.assertIs(self.core.may_begin(sent), may)
 
     def test_a_result_is_kept_for_a_bounded_time_and_number(self) -> None:
         self.submit("post", "a")
-        self.pass_time(100)
+        self.advance_clock(100)
         self.core.ended(self.link.sent[0], api.Outcome.DONE, b"ranked")
         self.assertEqual(self.submit("post", "a")[1].got, [Answer(Verdict.SERVED, b"ranked")])
         self.assertEqual(self.submit("look", "a")[1].got, [])  # another class, another job
-        self.pass_time(core.KEPT_FOR + 1)
+        self.advance_clock(core.KEPT_FOR + 1)
         self.assertEqual(self.submit("post", "a")[1].got, [])
         for i in range(core.KEPT_COUNT + 10):
             request = Request("look", f"n{i}", b"/", b"", 0.0)
@@ -141,28 +141,28 @@
             with self.subTest(outcome=outcome):
                 name, before = f"p-{outcome.value}", len(self.link.sent)
                 _, client = self.submit("post", name)
-                self.pass_time(100)
+                self.advance_clock(100)
                 sent = self.link.sent[before]
                 self.core.written(sent)
                 self.list()  # no worker is left to send it to
                 self.core.ended(sent, outcome)
                 self.core.decide()
-                self.pass_time(5000)
-                verdict = Verdict.TURNED_DOWN if again else Verdict.FAILED
+                self.advance_clock(5000)
+                verdict = Verdict.REJECTED if again else Verdict.FAILED
                 self.assertEqual([a.verdict for a in client.got], [verdict])
                 self.list(entry("w1"), entry("w2"))
-                self.pass_time(20_000)  # past the rest of the worker that failed
+                self.advance_clock(20_000)  # past the rest of the worker that failed
                 self.submit("post", name)
-                self.pass_time(100)
+                self.advance_clock(100)
                 self.assertEqual(len(self.link.sent), before + 1 + again)
                 self.core.ended(self.link.sent[-1], api.Outcome.DONE)
                 self.core.decide()
 
     def test_one_who_joins_is_answered_by_its_own_deadline(self) -> None:
         _, first = self.submit("post", "a", 5000)
-        self.pass_time(100)
+        self.advance_clock(100)
         _, joined = self.submit("post", "a", 300)
-        self.pass_time(300)
+        self.advance_clock(300)
         self.assertEqual([a.verdict for a in joined.got], [Verdict.FAILED])
         self.assertEqual(first.got, [])
         self.core.ended(self.link.sent[0], api.Outcome.DONE, b"r")
@@ -170,10 +170,10 @@
 
     def test_a_result_of_a_attempt_that_was_counted_out_still_serves(self) -> None:
         request, client = self.submit("look", "a")
-        self.pass_time(100)
+        self.advance_clock(100)
         self.core.ended(self.link.sent[0], api.Outcome.RESET)
         self.core.decide()
-        self.pass_time(100)
+        self.advance_clock(100)
         self.core.late_result(request, b"there after all")
         self.core.decide()
         self.assertEqual(client.got, [Answer(Verdict.SERVED, b"there after all")])
@@ -182,16 +182,16 @@
 
     def test_every_request_has_one_answer_in_time_and_leaves_no_trace(self) -> None:
         clients = [self.submit(("look", "post")[i % 2], f"u{i}", 900)[1] for i in range(40)]
-        self.pass_time(899)
+        self.advance_clock(899)
         self.assertEqual({len(c.got) for c in clients}, {1})
-        self.pass_time(30_000)
+        self.advance_clock(30_000)
         self.assertEqual((len(self.core.requests), len(self.core._by_wire), len(self.deadlines)), (0, 0, 0))
 
     def test_one_sources_complete_list_leaves_the_others_workers_alone(self) -> None:
         other = Link()
-        self.core.list_told(other, api.ListKind.CHANGES, [(entry("g1"), None)])
+        self.core.apply_worker_list(other, api.ListKind.CHANGES, [(entry("g1"), None)])
         self.list(entry("w2"))
-        states = {name: e.listed.state.value for name, e in self.core.entries.items()}
+        states = {name: e.listed.state.value for name, e in self.core.endpoints.items()}
         self.assertEqual(states, {"w1": "gone", "w2": "in_service", "g1": "in_service"})
         self.assertTrue(self.core.module.workers["g1"].ready)
 
@@ -257,7 +257,7 @@
                     now += 300
                     for sent in self.sends(module, now, asked):
                         out += 1
-                        late = not prompt and out > SLOTS_GUESS
+                        late = not prompt and out > DEFAULT_SLOTS
                         now += 400 if late else 201
                         if late:  # it waited until another ended
                             done = api.AttemptEnded(ends, 0, "w1", api.Outcome.DONE, 900.0, True)
@@ -267,9 +267,9 @@
                         now += 150
                         module.handle(now, [api.Progress(sent.request, 0, "w1", False, 0.9)])
                 slots = module.slots(module.workers["w1"])
-                self.assertEqual(slots > SLOTS_GUESS, prompt)
+                self.assertEqual(slots > DEFAULT_SLOTS, prompt)
                 self.assertLessEqual(out, slots + 1)
-                self.assertEqual(module.workers["w1"].shape.misses > 0, not prompt)
+                self.assertEqual(module.workers["w1"].shape.failed_slot_trials > 0, not prompt)
 
     def test_an_end_that_is_told_after_the_start_it_made_room_for_raises_nothing(self) -> None:
         module, now, open_jobs = self.module(), 1000.0, []
@@ -279,15 +279,15 @@
                 open_jobs.append(sent.request)
                 now += 250
                 module.handle(now, [api.Progress(sent.request, 0, "w1", True)])
-                if len(open_jobs) > SLOTS_GUESS:
+                if len(open_jobs) > DEFAULT_SLOTS:
                     ended = api.AttemptEnded(open_jobs.pop(0), 0, "w1", api.Outcome.DONE, 900.0, True)
                     module.handle(now + 20, [ended])
-        self.assertEqual(module.slots(module.workers["w1"]), SLOTS_GUESS)
+        self.assertEqual(module.slots(module.workers["w1"]), DEFAULT_SLOTS)
 
     def test_without_starts_nothing_is_tried(self) -> None:
         module = self.module(tells_start=False)
         asked: list[api.Event] = [api.Request(i, "look", 9000.0, hint=100.0) for i in range(20)]
-        self.assertEqual(len(self.sends(module, 1000.0, asked)), SLOTS_GUESS)
+        self.assertEqual(len(self.sends(module, 1000.0, asked)), DEFAULT_SLOTS)
 
     def test_unseen_dispatchers_do_not_close_a_worker(self) -> None:
         """With a second dispatcher that may be down, three of four slots are still ours to fill."""
@@ -336,7 +336,7 @@
         self.module = Module(settings, 1)
         self.module.handle(1000.0, [api.Membership(api.ListKind.COMPLETE, [entry("w1"), entry("w2")])])
 
-    def pass_time(self, ms: float, *events: api.Event) -> list[api.Action]:
+    def advance_clock(self, ms: float, *events: api.Event) -> list[api.Action]:
         got = self.module.handle(self.now, events)
         for _ in range(int(ms // 50)):
             self.now += 50
@@ -344,17 +344,17 @@
         return got
 
     def send(self, number: int, cls: str) -> str:
-        got = self.pass_time(50, api.Request(number, cls, 9000.0, hint=100.0))
+        got = self.advance_clock(50, api.Request(number, cls, 9000.0, hint=100.0))
         (sent,) = [a for a in got if isinstance(a, api.Send)]
         return sent.worker
 
     def test_a_job_that_may_run_again_goes_elsewhere_and_a_mute_worker_rests(self) -> None:
         first = self.send(1, "look")
-        actions = self.pass_time(700)
+        actions = self.advance_clock(700)
         self.assertIn(api.Cancel(1, 0), actions)
         self.assertGreater(explain.worker(self.module, first)["rests_for"], 0)
         ended = api.AttemptEnded(1, 0, first, api.Outcome.CANCELLED, 600.0, False)
-        again = [a for a in self.pass_time(100, ended) if isinstance(a, api.Send)]
+        again = [a for a in self.advance_clock(100, ended) if isinstance(a, api.Send)]
         self.assertEqual([a.request for a in again], [1])
         self.assertNotEqual(again[0].worker, first)
 
@@ -363,36 +363,36 @@
         self.module.handle(self.now, [api.Membership(api.ListKind.COMPLETE, [entry("w1")])])
         lost, number = self.send(1, "post"), 2
         self.send(2, "look")
-        self.pass_time(650, api.Progress(2, 0, lost, True))  # until then the first may wait for a slot
-        self.pass_time(50, api.AttemptEnded(2, 0, lost, api.Outcome.DONE, 650.0, True))
+        self.advance_clock(650, api.Progress(2, 0, lost, True))  # until then the first may wait for a slot
+        self.advance_clock(50, api.AttemptEnded(2, 0, lost, api.Outcome.DONE, 650.0, True))
         while number < 30:
             number += 1
             worker = self.send(number, "look")
-            self.pass_time(50, api.Progress(number, 0, worker, True))
-            self.pass_time(100, api.AttemptEnded(number, 0, worker, api.Outcome.DONE, 200.0, True))
+            self.advance_clock(50, api.Progress(number, 0, worker, True))
+            self.advance_clock(100, api.AttemptEnded(number, 0, worker, api.Outcome.DONE, 200.0, True))
         facts = explain.worker(self.module, lost)
         self.assertEqual((facts["ours"], facts["rests_for"]), (0.0, 0.0))
         self.assertLess(facts["slowness"], 2.0)
         late = api.AttemptEnded(1, 0, lost, api.Outcome.DONE, 6000.0, True)  # it was only very late
-        self.pass_time(50, late)
+        self.advance_clock(50, late)
         self.assertEqual(explain.worker(self.module, lost)["ours"], 0.0)
 
     def test_a_worker_that_loses_one_class_is_sent_the_others(self) -> None:
         self.module.handle(self.now, [api.Membership(api.ListKind.COMPLETE, [entry("w1")])])
         self.send(1, "post")
         self.send(2, "look")
-        self.pass_time(700, api.Progress(2, 0, "w1", True))
-        self.pass_time(50, api.AttemptEnded(2, 0, "w1", api.Outcome.DONE, 700.0, True))
-        held = self.pass_time(150, api.Request(3, "post", 9000.0, hint=100.0))
+        self.advance_clock(700, api.Progress(2, 0, "w1", True))
+        self.advance_clock(50, api.AttemptEnded(2, 0, "w1", api.Outcome.DONE, 700.0, True))
+        held = self.advance_clock(150, api.Request(3, "post", 9000.0, hint=100.0))
         self.assertEqual([a for a in held if isinstance(a, api.Send)], [])
         self.assertEqual(self.send(4, "look"), "w1")
-        told = self.pass_time(100, api.Progress(1, 0, "w1", True))  # it was only late
+        told = self.advance_clock(100, api.Progress(1, 0, "w1", True))  # it was only late
         self.assertEqual([a.request for a in told if isinstance(a, api.Send)], [3])
 
     def test_a_start_that_is_told_leaves_all_as_it_is(self) -> None:
         worker = self.send(1, "look")
-        self.pass_time(50, api.Progress(1, 0, worker, True))
-        self.assertEqual([a for a in self.pass_time(700) if isinstance(a, api.Cancel)], [])
+        self.advance_clock(50, api.Progress(1, 0, worker, True))
+        self.assertEqual([a for a in self.advance_clock(700) if isinstance(a, api.Cancel)], [])
 
 
 class RoughHints(unittest.TestCase):
@@ -410,7 +410,7 @@
             now += run
             module.handle(now, [api.AttemptEnded(number, 0, "w1", api.Outcome.DONE, run, True)])
             if number > 20:
-                self.assertTrue(0.6 < module.slow_mean < 1.5 and 0.6 < module.shapes["m"].slow < 1.5)
+                self.assertTrue(0.6 < module.mean_slowdown < 1.5 and 0.6 < module.shapes["m"].slowdown < 1.5)
                 self.assertTrue(0.3 < module.slowness(module.workers["w1"]) < 2.5)
 
 
@@ -426,7 +426,7 @@
         for _, theirs in pairs:
             theirs.sendall(b"x")
         while not got:
-            loop.once(lambda: None, 1000.0)
+            loop.run_once(lambda: None, 1000.0)
         self.assertEqual((got, sum(e.closed for e in ends)), ([b"x"], 1))
         for end, (_, theirs) in zip(ends, pairs, strict=True):
             end.close()
--- a/tests/test_crash.py
+++ b/tests/test_crash.py
@@ -127,7 +127,7 @@
 DIES = """
 import os, signal
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.jobs.keeper import JobKeeper
+from eiderpin.jobs.keeper import JobManager
 from eiderpin.net.workers import HttpWorkers
 def die(*_): os.kill(os.getpid(), signal.SIGKILL)
 def after(cls, name):
@@ -141,13 +141,13 @@
 PLACES: list[tuple[str, str, int, tuple[int, bytes]]] = [
     (
         "accept and lease",
-        "JobKeeper.lease = lambda k, s, go: k.when_kept(s.request, die)",
+        "JobManager.lease = lambda k, s, go: k.when_durable(s.request, die)",
         1,
         (200, b"ran a1"),
     ),
     ("lease and first byte", "HttpWorkers.send = die", 0, (500, b"failed\n")),
     ("last byte and 202", "after(Dispatcher, 'written')", 1, (200, b"ran a1")),
-    ("result and its record", "JobKeeper.end = die", 1, (200, b"ran a1")),
+    ("result and its record", "JobManager.end = die", 1, (200, b"ran a1")),
     ("record and answer", "Dispatcher._give = die", 1, (200, b"ran a1")),
 ]
 
--- a/tests/test_fleet_discovery.py
+++ b/tests/test_fleet_discovery.py
@@ -19,7 +19,7 @@
 from eiderpin.core.requests import Request
 from eiderpin.net.discovery import WAIT, Discovery
 from eiderpin.net.loop import Loop
-from tests.test_core import Client, HandClock, Link
+from tests.test_core import Client, Link, ManualClock
 
 OLD, NEW = 7, 8  # generations: what all know, and what the service has
 ROWS = {
@@ -88,7 +88,7 @@
     """So many dispatchers that started in the same instant; also the loop that each of them sees."""
 
     def __init__(self, dispatchers: int, rate: float, on_request: bool = True, known: Any = KNOWN) -> None:
-        self.clock, self.deadlines = HandClock(), Deadlines()
+        self.clock, self.deadlines = ManualClock(), Deadlines()
         self.service = Service(self, rate)
         self.cores: list[core.Dispatcher] = []
         self.watches: list[Discovery] = []
@@ -115,7 +115,7 @@
                 each.decide()
 
     def know_the_new_worker(self) -> int:
-        return sum("w2" in c.entries for c in self.cores)
+        return sum("w2" in c.endpoints for c in self.cores)
 
 
 class ManyAskAtOnce(unittest.TestCase):
@@ -165,7 +165,7 @@
         world = World(1, rate=100.0, known=None)
         world.run(200)
         self.assertEqual([t for _, t in world.service.calls][0], b"/catalog/members")
-        self.assertEqual(set(world.cores[0].entries), {"w1", "w2"})
+        self.assertEqual(set(world.cores[0].endpoints), {"w1", "w2"})
 
     def test_the_last_list_serves_where_no_answer_comes_and_not_before(self) -> None:
         """Discovery says nothing: jobs go to the workers of the list that was held last, once it was asked
@@ -174,11 +174,11 @@
         world.service.silent = True
         only = world.cores[0]
         only.submit(Request("look", "j1", b"/look", b"", deadline=world.clock.now() + 3000), Client())
-        link = cast(Link, only.entries["w1"].link)
+        link = cast(Link, only.endpoints["w1"].link)
         world.run(300)
         self.assertEqual(link.sent, [])
         world.run(200)
-        self.assertEqual([s.entry.name for s in link.sent], ["w1"])
+        self.assertEqual([s.endpoint.name for s in link.sent], ["w1"])
 
     def test_where_lists_come_unasked_the_watch_begins_at_once(self) -> None:
         world = World(2, rate=100.0, on_request=False)
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -30,7 +30,7 @@
 
 from eiderpin import logs
 from eiderpin.log_stream import LogHandler, LogStream, without_waiting
-from tests.crossing import job
+from tests.crossing import job_request
 from tests.standins import PATIENCE, ROOT, Discovery, http_call, wait_for
 from tests.test_shutdown_deadline import HangingWorker, earliest_kill, with_deadlines
 
@@ -176,7 +176,7 @@
         clients = []
         for number in range(count):
             client = socket.create_connection((host, int(port)))
-            client.sendall(job("time-lookup", f"accepted.{number}", wait=7000))
+            client.sendall(job_request("time-lookup", f"accepted.{number}", wait=7000))
             clients.append(client)
         return clients
 
--- a/tests/test_may_begin.py
+++ b/tests/test_may_begin.py
@@ -13,7 +13,14 @@
 from eiderpin import interface as api
 from eiderpin.net.arrival import data_age
 from eiderpin.net.gearman import Kind, Reader, pack
-from tests.crossing import Stage, http, job, staged, to_worker, told
+from tests.crossing import (
+    Harness,
+    callback_request,
+    http_response,
+    job_request,
+    leads_to_worker,
+    running_harness,
+)
 from tests.standins import SETTINGS
 
 SPAN = 400.0  # ms; the window in which the zone's workers drop a repeat
@@ -24,30 +31,30 @@
 }  # fmt: skip
 
 
-def sent_out(stage: Stage, cls: str, wait: int = 5000) -> None:
+def sent_out(harness: Harness, cls: str, wait: int = 5000) -> None:
     """A job is placed, and the connection for it does not come up yet."""
-    stage.client().say(job(cls, "a", wait))
-    stage.hold(lambda conn: conn.connecting)
-    stage.until(lambda: stage.core.outstanding, "the job")
-    stage.pass_time(40)
-    assert any(c.connecting for c in stage.loop.connections.all())
+    harness.client().send(job_request(cls, "a", wait))
+    harness.hold_back(lambda conn: conn.connecting)
+    harness.run_until(lambda: harness.core.outstanding, "the job")
+    harness.advance_clock(40)
+    assert any(c.connecting for c in harness.loop.connections.all())
 
 
-def repeated(stage: Stage, cls: str, after: float) -> None:
+def repeated(harness: Harness, cls: str, after: float) -> None:
     """Its first attempt may have run; the connection of the second does not come up until so long after the
     first was sent."""
-    stage.client().say(job(cls, "a"))
-    stage.until(lambda: stage.core.outstanding, "the job")
-    sent = stage.clock.at
-    stage.pass_time(40)
-    stage.until(stage.begun, "the first attempt")
-    (peer,) = [p for w in stage.workers for p in w.peers]
-    stage.hold(lambda conn: conn.connecting)
+    harness.client().send(job_request(cls, "a"))
+    harness.run_until(lambda: harness.core.outstanding, "the job")
+    sent = harness.clock.at
+    harness.advance_clock(40)
+    harness.run_until(harness.begun, "the first attempt")
+    (peer,) = [p for w in harness.workers for p in w.peers]
+    harness.hold_back(lambda conn: conn.connecting)
     peer.close()
-    stage.turn(5)
-    stage.pass_time(60)
-    assert any(c.connecting for c in stage.loop.connections.all())
-    stage.pass_time(sent + after - stage.clock.at)
+    harness.run_turns(5)
+    harness.advance_clock(60)
+    assert any(c.connecting for c in harness.loop.connections.all())
+    harness.advance_clock(sent + after - harness.clock.at)
 
 
 class MayBegin(unittest.TestCase):
@@ -56,130 +63,139 @@
             ("hold", 0.5 * SPAN, 2), ("hold", SPAN - 140, 1), ("hold", 0.99 * SPAN, 1),
             ("hold", SPAN + 20, 1), ("time-lookup", SPAN + 20, 2),
         ):  # fmt: skip
-            with self.subTest(cls=cls, after=after), staged(settings=GIVEN) as stage:
-                repeated(stage, cls, after)
-                stage.let()
-                stage.turn(5)
-                stage.pass_time(50)
-                self.assertEqual(len(stage.begun()), begins)
+            with self.subTest(cls=cls, after=after), running_harness(settings=GIVEN) as harness:
+                repeated(harness, cls, after)
+                harness.release_held()
+                harness.run_turns(5)
+                harness.advance_clock(50)
+                self.assertEqual(len(harness.begun()), begins)
                 if begins == 1:
-                    self.assertIn(b" 500 ", stage.clients[0].look())  # given up, and told so at once
-                    self.assertEqual(stage.counted("out.late.overtaken"), 1)
+                    self.assertIn(
+                        b" 500 ", harness.clients[0].read_available()
+                    )  # given up, and told so at once
+                    self.assertEqual(harness.counter_value("out.late.overtaken"), 1)
 
     def test_what_happens_while_the_first_connection_comes_up(self) -> None:
-        def drain(stage: Stage, passes: float) -> None:
-            listed = stage.service.listed
+        def drain(harness: Harness, passes: float) -> None:
+            listed = harness.service.listed
             assert listed is not None
             for name in ("w0", "w1"):
-                entry = stage.core.entries[name]
+                entry = harness.core.endpoints[name]
                 drained = api.WorkerEntry(name, "", "", 0, api.WorkerState.DRAINING)
-                stage.core.list_told(stage.service.workers, api.ListKind.CHANGES, [(drained, entry.address)])
-            stage.pass_time(passes)
-
-        cases: list[tuple[str, Callable[[Stage], None], int]] = [
-            ("nothing", lambda stage: None, 1),
-            ("its worker drains, and the grace is over", lambda stage: drain(stage, 470), 0),
-            ("its worker drains, and is within its grace", lambda stage: drain(stage, 250), 1),
+                harness.core.apply_worker_list(
+                    harness.service.workers, api.ListKind.CHANGES, [(drained, entry.address)]
+                )
+            harness.advance_clock(passes)
+
+        cases: list[tuple[str, Callable[[Harness], None], int]] = [
+            ("nothing", lambda harness: None, 1),
+            ("its worker drains, and the grace is over", lambda harness: drain(harness, 470), 0),
+            ("its worker drains, and is within its grace", lambda harness: drain(harness, 250), 1),
             # 90 ms are left, and the write may be held up for 150.
-            ("its worker drains, and the grace is nearly over", lambda stage: drain(stage, 410), 0),
-            ("its time is over", lambda stage: stage.pass_time(3100), 0),
+            ("its worker drains, and the grace is nearly over", lambda harness: drain(harness, 410), 0),
+            ("its time is over", lambda harness: harness.advance_clock(3100), 0),
         ]
         for name, happens, begins in cases:
-            with self.subTest(name=name), staged(settings=GIVEN) as stage:
-                sent_out(stage, "result-post", 3000)
-                happens(stage)
-                stage.let()
-                stage.turn(5)
-                self.assertEqual(len(stage.begun()), begins)
+            with self.subTest(name=name), running_harness(settings=GIVEN) as harness:
+                sent_out(harness, "result-post", 3000)
+                happens(harness)
+                harness.release_held()
+                harness.run_turns(5)
+                self.assertEqual(len(harness.begun()), begins)
 
     def test_a_gearman_worker_that_grabs_late(self) -> None:
         """The same question, where the first byte waits for a grab: in time, or once the window is over."""
         for after, given in ((0.5 * SPAN, True), (SPAN + 20, False)):
-            with self.subTest(after=after), staged(workers=1, gearman=True, settings=GIVEN) as stage:
-                stage.client().say(job("hold", "a"))
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                sent = stage.clock.at
-                stage.pass_time(40)
-                stage.until(stage.begun, "the first attempt")
-                worker = stage.client("gearman")
-                worker.say(pack(Kind.CAN_DO, b"hold", magic=b"\0REQ"))
-                stage.turn(5)
-                zone = stage.core.settings.zone
-                self.assertEqual(stage.core.entries["w0"].listed.zone or zone, zone)
-                stage.core.module.workers["w0"].zone = zone
-                stage.workers[0].peers[0].close()
-                stage.turn(5)
-                stage.pass_time(60)
-                stage.pass_time(sent + after - stage.clock.at)
-                worker.say(pack(Kind.GRAB_JOB_UNIQ, magic=b"\0REQ"))
-                stage.turn(5)
-                got = [p.kind for p in Reader(b"\0RES").feed(worker.look())]  # type: ignore[union-attr]
+            with (
+                self.subTest(after=after),
+                running_harness(workers=1, gearman=True, settings=GIVEN) as harness,
+            ):
+                harness.client().send(job_request("hold", "a"))
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                sent = harness.clock.at
+                harness.advance_clock(40)
+                harness.run_until(harness.begun, "the first attempt")
+                worker = harness.client("gearman")
+                worker.send(pack(Kind.CAN_DO, b"hold", magic=b"\0REQ"))
+                harness.run_turns(5)
+                zone = harness.core.settings.zone
+                self.assertEqual(harness.core.endpoints["w0"].listed.zone or zone, zone)
+                harness.core.module.workers["w0"].zone = zone
+                harness.workers[0].peers[0].close()
+                harness.run_turns(5)
+                harness.advance_clock(60)
+                harness.advance_clock(sent + after - harness.clock.at)
+                worker.send(pack(Kind.GRAB_JOB_UNIQ, magic=b"\0REQ"))
+                harness.run_turns(5)
+                got = [p.kind for p in Reader(b"\0RES").feed(worker.read_available())]  # type: ignore[union-attr]
                 self.assertEqual(Kind.JOB_ASSIGN_UNIQ in got, given, got)
 
     def test_a_connection_that_came_up_for_nothing_is_kept_for_the_next(self) -> None:
-        with staged(workers=1, settings=GIVEN) as stage:
-            sent_out(stage, "time-lookup", 1500)
-            stage.pass_time(1600)
-            stage.let()
-            stage.turn(5)
-            self.assertEqual(stage.begun(), [])
-            stage.client().say(job("time-lookup", "b"))
-            stage.until(lambda: stage.core.outstanding, "the next job")
-            stage.pass_time(40)
-            stage.until(lambda: stage.begun() == ["b"], "it to begin")
-            (peer,) = [p for p in stage.workers[0].peers if p.requests()]
-            peer.say(http(202))
-            stage.turn(5)
-            self.assertTrue(any(to_worker(c) for c in stage.loop.connections.all()))
+        with running_harness(workers=1, settings=GIVEN) as harness:
+            sent_out(harness, "time-lookup", 1500)
+            harness.advance_clock(1600)
+            harness.release_held()
+            harness.run_turns(5)
+            self.assertEqual(harness.begun(), [])
+            harness.client().send(job_request("time-lookup", "b"))
+            harness.run_until(lambda: harness.core.outstanding, "the next job")
+            harness.advance_clock(40)
+            harness.run_until(lambda: harness.begun() == ["b"], "it to begin")
+            (peer,) = [p for p in harness.workers[0].peers if p.requests()]
+            peer.send(http_response(202))
+            harness.run_turns(5)
+            self.assertTrue(any(leads_to_worker(c) for c in harness.loop.connections.all()))
 
 
 class TimeTold(unittest.TestCase):
     """What a server is told it has is no more than its client has left when the first byte goes out, less the
     time for the answer's way back."""
 
-    def told(self, stage: Stage, rid: str = "a") -> int:
+    def told(self, harness: Harness, rid: str = "a") -> int:
         """The time that the last attempt at this request bore, in ms."""
-        stage.until(lambda: rid in stage.begun(), "the attempt")
-        requests = [r for w in stage.workers for p in w.peers for r in p.requests()]
+        harness.run_until(lambda: rid in harness.begun(), "the attempt")
+        requests = [r for w in harness.workers for p in w.peers for r in p.requests()]
         head = [r for r in requests if f"Req-Id: {rid}\r\n".encode() in r][-1]
         return int(head.partition(b"Req-Deadline-Ms: ")[2].partition(b"\r\n")[0])
 
     def test_a_request_that_was_read_late(self) -> None:
         """The process was held up, or did not accept: by the kernel's figure, or else by our own."""
         for age, expected in ((0.0, 2945), (400.0, 2545), (None, 2945)):
-            with self.subTest(age=age), staged(settings=GIVEN) as stage:
-                stage.data_age = age
-                stage.client().say(job("result-post", "a", 3000))
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
-                self.assertAlmostEqual(self.told(stage), expected, delta=31)
-                self.assertLessEqual(self.told(stage), expected + 40 - 15)
+            with self.subTest(age=age), running_harness(settings=GIVEN) as harness:
+                harness.data_age = age
+                harness.client().send(job_request("result-post", "a", 3000))
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
+                self.assertAlmostEqual(self.told(harness), expected, delta=31)
+                self.assertLessEqual(self.told(harness), expected + 40 - 15)
 
     def test_a_connection_that_waited_to_be_accepted(self) -> None:
         for age, most in ((None, 2700), (300.0, 2700), (0.0, 3000)):
-            with self.subTest(age=age), staged(settings=GIVEN) as stage:
-                stage.data_age = age
-                stage.turn()
-                stage.service.edge.listener.rest(300.0)
-                stage.client().say(job("result-post", "a", 3000))
-                stage.pass_time(300)
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
-                self.assertLessEqual(self.told(stage), most - 15)
-                self.assertGreater(self.told(stage), most - 100)
+            with self.subTest(age=age), running_harness(settings=GIVEN) as harness:
+                harness.data_age = age
+                harness.run_turns()
+                harness.service.http_front.listener.suspend(300.0)
+                harness.client().send(job_request("result-post", "a", 3000))
+                harness.advance_clock(300)
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
+                self.assertLessEqual(self.told(harness), most - 15)
+                self.assertGreater(self.told(harness), most - 100)
 
     def test_one_that_waited_behind_another_on_its_connection(self) -> None:
-        with staged(settings=GIVEN) as stage:
-            client = stage.client()
-            client.say(job("time-lookup", "a", 3000) + job("time-lookup", "b", 3000))
-            stage.until(lambda: stage.core.outstanding, "the job")
-            stage.pass_time(40)
-            name = stage.until(lambda: [w.name for w in stage.workers if "a" in w.begun()], "it to begin")[0]
-            stage.pass_time(500)
-            stage.client().say(told("a", name, "done", result="ok"))
-            stage.until(lambda: client.look(), "its answer")
-            stage.pass_time(40)
-            self.assertLessEqual(self.told(stage, "b"), 2500 - 15)
+        with running_harness(settings=GIVEN) as harness:
+            client = harness.client()
+            client.send(job_request("time-lookup", "a", 3000) + job_request("time-lookup", "b", 3000))
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            harness.advance_clock(40)
+            name = harness.run_until(
+                lambda: [w.name for w in harness.workers if "a" in w.begun()], "it to begin"
+            )[0]
+            harness.advance_clock(500)
+            harness.client().send(callback_request("a", name, "done", result="ok"))
+            harness.run_until(lambda: client.read_available(), "its answer")
+            harness.advance_clock(40)
+            self.assertLessEqual(self.told(harness, "b"), 2500 - 15)
 
     def test_the_kernel_tells_how_old_data_is(self) -> None:
         with contextlib.ExitStack() as stack:
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -18,7 +18,7 @@
 from eiderpin.configuration import read_config
 from eiderpin.decide import Dispatcher
 from tests.conftest import entry, listed, sends
-from tests.crossing import job, staged, told
+from tests.crossing import callback_request, job_request, running_harness
 from tests.standins import SETTINGS, Discovery, HttpWorker, Program, http_call, wait_for
 
 OTHER: dict[str, Any] = {
@@ -80,15 +80,15 @@
     def test_no_module_keeps_anything_of_a_deployment(self) -> None:
         before = {k: copy.copy(v) for k, v in shared_state().items() if "bytearray" not in str(type(v))}
         for settings in (SETTINGS, OTHER):
-            with staged(settings={**settings, "discovery": "pushed"}) as stage:
-                client = stage.client()
-                client.say(job("result-post", "a", 3000))
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
-                stage.until(stage.begun, "it to begin")
-                name = next(w.name for w in stage.workers if w.begun())
-                stage.client().say(told("a", name, "done", result="x"))
-                stage.until(client.look, "its answer")
+            with running_harness(settings={**settings, "discovery": "pushed"}) as harness:
+                client = harness.client()
+                client.send(job_request("result-post", "a", 3000))
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
+                harness.run_until(harness.begun, "it to begin")
+                name = next(w.name for w in harness.workers if w.begun())
+                harness.client().send(callback_request("a", name, "done", result="x"))
+                harness.run_until(client.read_available, "its answer")
         after = shared_state()
         self.assertEqual({k: after[k] for k in before}, before)
 
@@ -113,21 +113,24 @@
             limits = {**SETTINGS["limits"], "retry_after": advises, "max_retry_after": most}
             with (
                 self.subTest(advises=advises, most=most),
-                staged(workers=0, settings={"limits": limits}) as stage,
+                running_harness(workers=0, settings={"limits": limits}) as harness,
             ):
-                by_module, by_front, by_core = (stage.client() for _ in range(3))
-                by_module.say(job("time-lookup", "a", 300))
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(400)
-                stage.service.edge.most, room = 0, stage.service.edge.most
-                by_front.say(job("time-lookup", "b"))
-                stage.until(by_front.look, "the front's answer")
-                stage.service.edge.most = room
-                stage.core.requests._limit = len(stage.core.requests._items)
-                stage.core.requests._free.clear()
-                by_core.say(job("time-lookup", "c"))
+                by_module, by_front, by_core = (harness.client() for _ in range(3))
+                by_module.send(job_request("time-lookup", "a", 300))
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(400)
+                harness.service.http_front.max_connections, room = (
+                    0,
+                    harness.service.http_front.max_connections,
+                )
+                by_front.send(job_request("time-lookup", "b"))
+                harness.run_until(by_front.read_available, "the front's answer")
+                harness.service.http_front.max_connections = room
+                harness.core.requests._limit = len(harness.core.requests._items)
+                harness.core.requests._free.clear()
+                by_core.send(job_request("time-lookup", "c"))
                 for client in (by_module, by_front, by_core):
-                    got = stage.until(client.look, "the answer")
+                    got = harness.run_until(client.read_available, "the answer")
                     self.assertIn(b" 503 ", got)
                     told_wait = got.partition(b"Retry-After: ")[2].partition(b"\r\n")[0]
                     self.assertEqual(bool(told_wait), advises)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -502,7 +502,7 @@
         ):  # fmt: skip
             it = orders.Orders()
             it.take("w1", orders.read(text))
-            got = it.on(before)
+            got = it.apply(before)
             self.assertEqual((got.state.name, got.slots), (state, slots), text)
         for text, why in (
             (b"", "JSON"), (b"1", "an object"), (b'{"cordon":1}', "true or false"), (b'{"x":1}', "no such"),
--- a/tests/test_stored_list.py
+++ b/tests/test_stored_list.py
@@ -21,7 +21,7 @@
 import pytest
 
 from eiderpin import interface as api
-from tests.crossing import Peer, Stage, Worker, job
+from tests.crossing import Harness, Peer, Worker, job_request
 from tests.test_discovery_ends import FAILURES, Agent, run
 
 INSTANCES = 200
@@ -48,32 +48,32 @@
     known = {"generation": agent.generation, "reset": True, "instances": rows}
     agent.list(workers[0], "Terminating")
     agent.fails = fails
-    stage = Stage(0, discovery=agent.address, settings=settings, known=known)
-    stage.workers = workers
+    harness = Harness(0, discovery=agent.address, settings=settings, known=known)
+    harness.workers = workers
     try:
-        yield Restart(stage, agent)
+        yield Restart(harness, agent)
     finally:
-        stage.close()
+        harness.close()
         agent.close()
 
 
 class Restart:
     """The process, discovery, and clients that keep sending requests."""
 
-    def __init__(self, stage: Stage, agent: Agent) -> None:
-        self.stage, self.agent = stage, agent
+    def __init__(self, harness: Harness, agent: Agent) -> None:
+        self.harness, self.agent = harness, agent
         self.requests = 0
 
     def serve(self, ms: float) -> None:
         """Let time pass, with a request now and then."""
-        until = self.stage.clock.at + ms
-        while self.stage.clock.at < until:
-            self.stage.client().say(job("time-lookup", f"r{self.requests}", wait=7000))
+        until = self.harness.clock.at + ms
+        while self.harness.clock.at < until:
+            self.harness.client().send(job_request("time-lookup", f"r{self.requests}", wait=7000))
             self.requests += 1
-            run(self.stage, self.agent, ms=EVERY)
+            run(self.harness, self.agent, ms=EVERY)
 
     def begun_at(self, worker: int) -> list[str]:
-        return self.stage.workers[worker].begun()
+        return self.harness.workers[worker].begun()
 
 
 def nothing_goes_to_the_server_that_left(begun: Restart, lasts: float) -> None:
@@ -114,10 +114,10 @@
 @pytest.mark.parametrize("lasts", [100.0, 600.0])
 def test_nor_where_an_agent_has_the_list_and_is_slow_to_tell(lasts: float) -> None:
     with restarted(PUSHED, FAILURES["silent"]) as begun:
-        run(begun.stage, begun.agent, ms=20)
+        run(begun.harness, begun.agent, ms=20)
         for number in range(8):
-            begun.stage.client().say(job("time-lookup", f"r{number}", wait=7000))
-        run(begun.stage, begun.agent, ms=lasts)
+            begun.harness.client().send(job_request("time-lookup", f"r{number}", wait=7000))
+        run(begun.harness, begun.agent, ms=lasts)
         assert begun.begun_at(0) == []
 
 
@@ -125,7 +125,7 @@
     with restarted(LATE, None) as begun:
         begun.serve(1000.0)
         assert (begun.begun_at(0), begun.begun_at(1)) == ([], [])
-        run(begun.stage, begun.agent, ms=1000)  # no more requests come
+        run(begun.harness, begun.agent, ms=1000)  # no more requests come
         assert begun.begun_at(0) == []
         assert begun.begun_at(1)
 
@@ -149,9 +149,9 @@
 def test_a_front_that_tells_of_a_worker_answers_no_call_to_discovery() -> None:
     """A worker of another source came before the first call: then discovery was never asked at all."""
     with restarted(LATE, None) as begun:
-        core, link = begun.stage.core, begun.stage.service.workers
-        other = replace(core.entries["w1"].listed, name="w2")
-        core.list_told(link, api.ListKind.CHANGES, [(other, begun.stage.workers[1].address)])
+        core, link = begun.harness.core, begun.harness.service.workers
+        other = replace(core.endpoints["w1"].listed, name="w2")
+        core.apply_worker_list(link, api.ListKind.CHANGES, [(other, begun.harness.workers[1].address)])
         begun.serve(KNOWN_WITHIN)
-        assert not core.entries["w0"].in_service
+        assert not core.endpoints["w0"].in_service
         assert begun.begun_at(0) == []
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,7 +21,15 @@
 from unittest import mock
 
 from eiderpin.net import loop as loops
-from tests.crossing import Peer, Stage, http, job, staged, to_worker, told
+from tests.crossing import (
+    Harness,
+    Peer,
+    callback_request,
+    http_response,
+    job_request,
+    leads_to_worker,
+    running_harness,
+)
 from tests.standins import ROOT, HttpWorker, http_call, running, wait_for
 
 CLASSES = ("time-lookup", "result-post")
@@ -39,8 +47,8 @@
 class Faults:
     """Makes calls on the program's own sockets fail. `calls` counts all of them by name."""
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage = stage
+    def __init__(self, harness: Harness) -> None:
+        self.harness = harness
         self.calls: Counter[str] = Counter()
         self.failing: dict[
             str, Callable[[socket.socket], int]
@@ -63,11 +71,11 @@
         self.failing[call] = decide
 
     def connection_of(self, sock: socket.socket) -> Any:
-        return next((c for c in self.stage.loop.connections.all() if c.sock is sock), None)
+        return next((c for c in self.harness.loop.connections.all() if c.sock is sock), None)
 
     def is_ours(self, call: str, sock: socket.socket) -> bool:
         if call == "accept":
-            return sock is self.stage.service.edge.listener.sock
+            return sock is self.harness.service.http_front.listener.sock
         return call == "connect_ex" or self.connection_of(sock) is not None
 
     def wrapped(self, call: str, original: Callable[..., Any]) -> Callable[..., Any]:
@@ -96,39 +104,39 @@
 
 
 @contextlib.contextmanager
-def faulty(workers: int = 2, **more: Any) -> Iterator[tuple[Stage, Faults]]:
-    with staged(workers, **more) as stage:
-        faults = Faults(stage)
+def faulty(workers: int = 2, **more: Any) -> Iterator[tuple[Harness, Faults]]:
+    with running_harness(workers, **more) as harness:
+        faults = Faults(harness)
         with faults.installed():
-            yield stage, faults
+            yield harness, faults
 
 
 def to_client(conn: Any) -> bool:
-    return not to_worker(conn)
+    return not leads_to_worker(conn)
 
 
-def ask(stage: Stage, cls: str, rid: str = "a") -> Peer:
-    client = stage.client()
-    client.say(job(cls, rid))
+def ask(harness: Harness, cls: str, rid: str = "a") -> Peer:
+    client = harness.client()
+    client.send(job_request(cls, rid))
     return client
 
 
-def run(stage: Stage, client: Peer, rid: str = "a") -> bytes:
+def run(harness: Harness, client: Peer, rid: str = "a") -> bytes:
     """Let the job run wherever it begins, and return what its client got within 2 s."""
     done: set[str] = set()
     for _ in range(200):
-        stage.pass_time(10)
-        stage.turn(2, wait=0.5)
-        for worker in stage.workers:
+        harness.advance_clock(10)
+        harness.run_turns(2, wait=0.5)
+        for worker in harness.workers:
             if rid in worker.begun() and rid not in done:
                 done.add(rid)
                 for peer in worker.peers:
-                    if not peer.ended and f"Req-Id: {rid}".encode() in peer.got:
-                        peer.say(http(202))
-                stage.client().say(told(rid, worker.name, "done", result="ok"))
-        if client.look():
+                    if not peer.ended and f"Req-Id: {rid}".encode() in peer.received:
+                        peer.send(http_response(202))
+                harness.client().send(callback_request(rid, worker.name, "done", result="ok"))
+        if client.read_available():
             break
-    return client.got
+    return client.received
 
 
 class Shortages(unittest.TestCase):
@@ -138,116 +146,121 @@
         for cls in CLASSES:
             for number in SHORTAGES:
                 for call, which in (
-                    ("recv", to_client), ("recv", to_worker), ("send", to_client), ("send", to_worker),
+                    ("recv", to_client), ("recv", leads_to_worker),
+                    ("send", to_client), ("send", leads_to_worker),
                 ):  # fmt: skip
                     with (
                         self.subTest(cls=cls, errno=errno.errorcode[number], call=call, which=which.__name__),
-                        faulty() as (stage, faults),
+                        faulty() as (harness, faults),
                     ):
                         faults.fail(call, number, 4, which)
-                        client = ask(stage, cls)
-                        self.assertIn(b"200 OK", run(stage, client))
-                        self.assertEqual(stage.begun(), ["a"])
+                        client = ask(harness, cls)
+                        self.assertIn(b"200 OK", run(harness, client))
+                        self.assertEqual(harness.begun(), ["a"])
 
     def test_while_they_last_the_loop_does_not_spin(self) -> None:
         for call in ("recv", "send"):
-            with self.subTest(call=call), faulty() as (stage, faults):
-                client = ask(stage, "time-lookup")
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                faults.fail(call, errno.ENOBUFS, 10**6, to_worker if call == "send" else to_client)
-                client.say(b"POST /time")
+            with self.subTest(call=call), faulty() as (harness, faults):
+                client = ask(harness, "time-lookup")
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                faults.fail(call, errno.ENOBUFS, 10**6, leads_to_worker if call == "send" else to_client)
+                client.send(b"POST /time")
                 before = faults.calls[call]
                 for _ in range(20):
-                    stage.pass_time(10)
-                    stage.turn(20, wait=0.0)
+                    harness.advance_clock(10)
+                    harness.run_turns(20, wait=0.0)
                 self.assertLess(faults.calls[call] - before, 200 / loops.RETRY_AFTER * 2 + 10)
 
 
 class Accepting(unittest.TestCase):
     def test_who_waits_is_let_in_whatever_the_call_says_first(self) -> None:
         for number in (*NO_ROOM_TO_ACCEPT, *PENDING_ON_ACCEPT):
-            with self.subTest(errno=errno.errorcode[number]), faulty() as (stage, faults):
+            with self.subTest(errno=errno.errorcode[number]), faulty() as (harness, faults):
                 faults.fail("accept", number, 5)
-                client = ask(stage, "result-post")
-                self.assertIn(b"200 OK", run(stage, client))
-                self.assertEqual(stage.begun(), ["a"])
+                client = ask(harness, "result-post")
+                self.assertIn(b"200 OK", run(harness, client))
+                self.assertEqual(harness.begun(), ["a"])
 
     def test_where_there_is_no_room_the_listener_rests(self) -> None:
         for number in NO_ROOM_TO_ACCEPT:
-            with self.subTest(errno=errno.errorcode[number]), faulty() as (stage, faults):
+            with self.subTest(errno=errno.errorcode[number]), faulty() as (harness, faults):
                 faults.fail("accept", number, 10**6)
-                ask(stage, "time-lookup")
+                ask(harness, "time-lookup")
                 for _ in range(40):
-                    stage.pass_time(5)
-                    stage.turn(5, wait=0.0)
-                self.assertLess(faults.calls["accept"], 200 / loops.REST + 3)
+                    harness.advance_clock(5)
+                    harness.run_turns(5, wait=0.0)
+                self.assertLess(faults.calls["accept"], 200 / loops.SUSPEND_MS + 3)
 
     def test_a_socket_that_takes_no_option_serves_all_the_same(self) -> None:
         def refuses(sock: socket.socket, level: int, option: int, value: Any) -> None:
             if option == socket.TCP_NODELAY:
                 raise OSError(errno.EINVAL, "setsockopt")
 
-        with faulty() as (stage, _), mock.patch.object(socket.socket, "setsockopt", refuses, create=True):
-            self.assertIn(b"200 OK", run(stage, ask(stage, "time-lookup")))
+        with faulty() as (harness, _), mock.patch.object(socket.socket, "setsockopt", refuses, create=True):
+            self.assertIn(b"200 OK", run(harness, ask(harness, "time-lookup")))
 
     def test_one_that_the_selector_does_not_take_leaves_nothing_behind(self) -> None:
-        with faulty() as (stage, _):
-            stage.turn()
-            register = stage.gate.register
-            with mock.patch.object(stage.gate, "register", side_effect=OSError(errno.ENOSPC, "epoll_ctl")):
-                client = stage.client()
-                stage.turn(3)
-            self.assertEqual(len(stage.loop.connections), 0)
-            self.assertEqual(stage.gate.register, register)
-            client.look()
+        with faulty() as (harness, _):
+            harness.run_turns()
+            register = harness.gate.register
+            with mock.patch.object(harness.gate, "register", side_effect=OSError(errno.ENOSPC, "epoll_ctl")):
+                client = harness.client()
+                harness.run_turns(3)
+            self.assertEqual(len(harness.loop.connections), 0)
+            self.assertEqual(harness.gate.register, register)
+            client.read_available()
             self.assertNotEqual(client.ended, "")
 
 
 class Connecting(unittest.TestCase):
     def test_one_that_was_interrupted_goes_on(self) -> None:
         for cls in CLASSES:
-            with self.subTest(cls=cls), faulty(workers=1) as (stage, faults):
+            with self.subTest(cls=cls), faulty(workers=1) as (harness, faults):
                 faults.fail("connect_ex", errno.EINTR, 1)
-                self.assertIn(b"200 OK", run(stage, ask(stage, cls)))
-                self.assertEqual((stage.begun(), faults.calls["connect_ex"]), (["a"], 1))
+                self.assertIn(b"200 OK", run(harness, ask(harness, cls)))
+                self.assertEqual((harness.begun(), faults.calls["connect_ex"]), (["a"], 1))
 
     def test_what_we_lack_is_not_put_down_to_the_worker(self) -> None:
         for number in OUR_OWN:
-            with self.subTest(errno=errno.errorcode[number]), faulty(workers=4) as (stage, faults):
+            with self.subTest(errno=errno.errorcode[number]), faulty(workers=4) as (harness, faults):
                 faults.fail("connect_ex", number, 2)
-                self.assertIn(b"200 OK", run(stage, ask(stage, "result-post")))
-                self.assertEqual((stage.begun(), stage.counted("out.ended.not_sent")), (["a"], 2))
-                self.assertEqual(stage.core.module.avoided(stage.clock.at), set())
+                self.assertIn(b"200 OK", run(harness, ask(harness, "result-post")))
+                self.assertEqual((harness.begun(), harness.counter_value("out.ended.not_sent")), (["a"], 2))
+                self.assertEqual(harness.core.module.list_ejected_workers(harness.clock.at), set())
 
     def test_an_address_that_cannot_be_reached_is(self) -> None:
         for number in ITS_ADDRESS:
-            with self.subTest(errno=errno.errorcode[number]), faulty(workers=4) as (stage, faults):
+            with self.subTest(errno=errno.errorcode[number]), faulty(workers=4) as (harness, faults):
                 faults.fail("connect_ex", number, 1)
-                self.assertIn(b"200 OK", run(stage, ask(stage, "result-post")))
-                self.assertEqual((stage.begun(), stage.counted("out.ended.not_connected")), (["a"], 1))
+                self.assertIn(b"200 OK", run(harness, ask(harness, "result-post")))
+                self.assertEqual(
+                    (harness.begun(), harness.counter_value("out.ended.not_connected")), (["a"], 1)
+                )
 
     def test_while_nothing_can_be_reached_each_client_hears_so(self) -> None:
         for number in (*OUR_OWN, *ITS_ADDRESS):
             for cls in CLASSES:
                 with (
                     self.subTest(errno=errno.errorcode[number], cls=cls),
-                    faulty(workers=4) as (stage, faults),
+                    faulty(workers=4) as (harness, faults),
                 ):
                     faults.fail("connect_ex", number, 10**6)
-                    client = stage.client()
-                    client.say(job(cls, "a", wait=1500))
-                    stage.until(lambda s=stage: s.core.outstanding, "the job")
-                    stage.pass_time(1500)
-                    self.assertIn(b" 503 ", client.look()[:14])  # nothing has run: to try again is harmless
-                    self.assertEqual(stage.begun(), [])
+                    client = harness.client()
+                    client.send(job_request(cls, "a", wait=1500))
+                    harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                    harness.advance_clock(1500)
+                    self.assertIn(
+                        b" 503 ", client.read_available()[:14]
+                    )  # nothing has run: to try again is harmless
+                    self.assertEqual(harness.begun(), [])
 
 
 class ShortCalls(unittest.TestCase):
     def test_a_byte_at_a_time_all_is_served(self) -> None:
         receive, send = socket.socket.recv, socket.socket.send
         for cls in CLASSES:
-            with self.subTest(cls=cls), staged() as stage:
-                ours = Faults(stage)
+            with self.subTest(cls=cls), running_harness() as harness:
+                ours = Faults(harness)
 
                 def recv(sock: socket.socket, size: int, *flags: int, ours: Faults = ours) -> bytes:
                     return receive(sock, 1 if ours.connection_of(sock) else size, *flags)
@@ -259,32 +272,32 @@
                     mock.patch.object(socket.socket, "recv", recv, create=True),
                     mock.patch.object(socket.socket, "send", short, create=True),
                 ):
-                    client = ask(stage, cls)
+                    client = ask(harness, cls)
                     for _ in range(60):
-                        stage.turn(10, wait=0.0)
-                    self.assertTrue(stage.core.outstanding)
-                    stage.pass_time(40)
-                    stage.until(lambda s=stage: s.begun(), "the job to begin")
-                    name = next(w.name for w in stage.workers if w.begun())
-                    stage.client().say(told("a", name, "done", result="ok"))
-                    stage.until(lambda c=client: c.look().endswith(b"ok"), "the answer")
-                    self.assertEqual(stage.begun(), ["a"])
+                        harness.run_turns(10, wait=0.0)
+                    self.assertTrue(harness.core.outstanding)
+                    harness.advance_clock(40)
+                    harness.run_until(lambda s=harness: s.begun(), "the job to begin")
+                    name = next(w.name for w in harness.workers if w.begun())
+                    harness.client().send(callback_request("a", name, "done", result="ok"))
+                    harness.run_until(lambda c=client: c.read_available().endswith(b"ok"), "the answer")
+                    self.assertEqual(harness.begun(), ["a"])
 
 
 class Listening(unittest.TestCase):
     def test_an_address_that_cannot_be_bound_again_at_once(self) -> None:
         """As one more request comes while the process closes: it is served, and its worker can call back."""
-        with faulty() as (stage, _):
-            listener = stage.service.edge.listener
+        with faulty() as (harness, _):
+            listener = harness.service.http_front.listener
             address = listener.address
-            listener.pause()
+            listener.stop()
             with mock.patch.object(listener, "_bound", side_effect=OSError(errno.EADDRINUSE, "bind")):
                 listener.start()
-                stage.pass_time(100)
-                self.assertFalse(listener.on)
-            stage.pass_time(loops.LISTEN_AGAIN)
-            self.assertEqual((listener.on, listener.address), (True, address))
-            self.assertIn(b"200 OK", run(stage, ask(stage, "time-lookup")))
+                harness.advance_clock(100)
+                self.assertFalse(listener.accepting)
+            harness.advance_clock(loops.LISTEN_AGAIN)
+            self.assertEqual((listener.accepting, listener.address), (True, address))
+            self.assertIn(b"200 OK", run(harness, ask(harness, "time-lookup")))
 
 
 class Logging(unittest.TestCase):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from eiderpin.core import wall_clock
 from eiderpin.core.wall_clock import WallClock
 from eiderpin.net.discovery import Entries
-from tests.crossing import HandClock, Stage, staged
+from tests.crossing import Harness, ManualClock, running_harness
 from tests.standins import HttpWorker, http_call, running
 
 STEPS = (-3_600_000.0, -5000.0, -1000.0, 1000.0, 5000.0, 3_600_000.0)
@@ -26,7 +26,7 @@
     """A wall clock in the test's hands, beside a steady one."""
 
     def __init__(self) -> None:
-        self.steady = HandClock()
+        self.steady = ManualClock()
         self.ahead = 0.0
 
     def read(self) -> float:
@@ -34,7 +34,7 @@
 
 
 class Translating(unittest.TestCase):
-    """`WallClock.steady` of a server's start, by when the clock stepped and when that was looked at."""
+    """`WallClock.to_steady` of a server's start, by when the clock stepped and when that was looked at."""
 
     def play(self, step: float, started_ago: float, stepped_ago: float, looked: tuple[float, ...]) -> float:
         """How old a server is taken to be that started so long ago, in ms; looks are told as ms ago."""
@@ -53,9 +53,9 @@
                 elif what == "step":
                     wall.ahead += step
                 else:
-                    clock.look()
+                    clock.sample()
             wall.steady.at = now
-            return now - clock.steady(started)
+            return now - clock.to_steady(started)
 
     def test_a_start_before_or_after_a_step(self) -> None:
         looks = tuple(float(ms) for ms in range(500, 60_000, 2000))
@@ -91,34 +91,39 @@
 
         with mock.patch.object(wall_clock, "read_wall", slow):
             clock = WallClock(wall.steady)
-            clock.look()
+            clock.sample()
             self.assertEqual([o.value for o in clock.offsets], [0.0])
 
 
 class Starts(unittest.TestCase):
     """A server that begins after a step is cold for as long as the settings say, by real time."""
 
-    def listed(self, stage: Stage, name: str, started: float) -> None:
-        source = stage.service.discovery
+    def listed(self, harness: Harness, name: str, started: float) -> None:
+        source = harness.service.discovery
         assert source is not None
         entry = api.WorkerEntry(name, "", "m", 0, api.WorkerState.IN_SERVICE, 1.0, started)
         entries: Entries = [(entry, ("127.0.0.1", 9))]
-        stage.core.list_told(source.link, api.ListKind.CHANGES, source.on_our_clock(entries))
-        stage.core.decide()
+        harness.core.apply_worker_list(
+            source.link, api.ListKind.CHANGES, source.with_local_start_times(entries)
+        )
+        harness.core.decide()
 
     def test_a_cold_server_after_a_step(self) -> None:
         for step in STEPS:
-            with self.subTest(step=step), staged(discovery="127.0.0.1:9", settings={"rules": COLD}) as stage:
-                stage.pass_time(20_000)
-                stage.wall_ahead += step
-                stage.pass_time(20_000)
-                started = stage.clock.at - 2000
-                self.listed(stage, "w", started + stage.wall_ahead)
-                worker = stage.core.module.workers["w"]
+            with (
+                self.subTest(step=step),
+                running_harness(discovery="127.0.0.1:9", settings={"rules": COLD}) as harness,
+            ):
+                harness.advance_clock(20_000)
+                harness.wall_clock_ahead_ms += step
+                harness.advance_clock(20_000)
+                started = harness.clock.at - 2000
+                self.listed(harness, "w", started + harness.wall_clock_ahead_ms)
+                worker = harness.core.module.workers["w"]
                 self.assertAlmostEqual(worker.cold_until, started + 10_000, delta=1)
                 # Told again after another step, it is the same process.
-                stage.wall_ahead += step
-                self.listed(stage, "w", started + stage.wall_ahead - step)
+                harness.wall_clock_ahead_ms += step
+                self.listed(harness, "w", started + harness.wall_clock_ahead_ms - step)
                 self.assertAlmostEqual(worker.cold_until, started + 10_000, delta=1)
 
 
