--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -264,8 +264,8 @@
 
 
 def may_repeat(job: Job, now: float, attempt: Attempt | None = None) -> bool:
-    """Whether the job's class allows an attempt now, or the open one given, beside others that are open or
-    may have run: never for a single-shot class, within its memory span for a guarded one."""
+    """Whether the job's class allows an attempt now (or `attempt`, if it is open) although others are open or
+    may have run: never if single-shot, within the memory span if guarded."""
     binding = job.find_binding_attempt(attempt)
     if binding is None or job.spec.repeat is api.Repeat.FREE:
         return True
@@ -562,7 +562,7 @@
         return self.settings.tells_start and not self.settings.ratings
 
     def has_queued_attempt(self, worker: Worker) -> bool:
-        """Whether an attempt of ours waits for a slot there; once timed out, only beside one that runs."""
+        """Whether an attempt of ours waits for a slot there; past the timeout, only while another runs."""
         ours = worker.open_attempts.values() if self.settings.tells_start else ()
         since = -math.inf if any(a.started_at >= 0 for a in ours) else self.now - self.start_timeout()
         return any(a.started_at < 0 and since < a.sent_at < self.now - QUEUED_MS and not a.lost for a in ours)
@@ -619,7 +619,7 @@
         return slowdown
 
     def slots_of_others(self, worker: Worker) -> float:
-        """Slots held there by the peer process, as it told, and by other dispatchers, as estimated."""
+        """Slots held there by the peer process, as it reported, and by other dispatchers, as estimated."""
         return worker.peer_slots + self.slots_of_other_dispatchers(worker)
 
     def slots_of_other_dispatchers(self, worker: Worker) -> float:
@@ -634,7 +634,7 @@
         return mean + (worker.others - mean) * math.exp(-age)
 
     def note_others(self, worker: Worker, held: float, age: float) -> None:
-        """Note that a worker held `held` slots `age` ms ago, less our attempts of that time: later ones come
+        """Note that a worker held `held` slots `age` ms ago, less our attempts of that time. Later ones come
         on top, and one that ended must not count as others', or it would hide the slot that it freed."""
         then = self.now - age
         ours = sum(a.job.need for a in worker.open_attempts.values() if a.sent_at <= then)
@@ -658,6 +658,7 @@
             self.actions.append(api.Probe(worker.name))
 
     def learn_report(self, worker: Worker, report: api.Report) -> None:
+        """Learn a worker's slots, and the load by others, from its report."""
         shape, queued = worker.shape, report.queued
         if not self.learns_slots_from_starts():  # reports are noisy, reported starts are not
             if report.free_slots is not None:
@@ -696,10 +697,8 @@
         return (worker.our_slots + self.slots_of_others(worker) + need) / capacity, need / capacity
 
     def has_room(self, worker: Worker, need: float, late: bool) -> bool:
-        """Whether a job of this size is expected to find a free slot.
-
-        A late job leaves some slots free: under overload it would take the place of jobs that are still in
-        time at other dispatchers, which our own queue does not show."""
+        """Whether a job of this size is expected to find a free slot. A late one leaves some free: under
+        overload it would displace jobs in time at other dispatchers, which our own queue does not show."""
         slots = self.slots(worker)
         spare = LATE_RESERVE_SHARE * slots if late else 0.0
         if worker.our_slots + self.slots_of_others(worker) + need <= slots + 0.5 - spare:
@@ -826,9 +825,8 @@
         return jobs
 
     def push_job(self, queue: RoundQueue, job: Job) -> None:
-        """Queue a job: by priority, then by class if it earns far less than others, then by worth for the
-        work, then by most slack. By least slack, overload would bring every job to the edge of its aim, and
-        the first small delay would make most of them late."""
+        """Queue a job: by priority, low earnings of its class, worth for the work, then most slack. By least
+        slack, overload would bring all jobs to the edge of their aims, and a small delay make most late."""
         first = self.class_earnings.get(job.spec.name, 1.0) < MIN_EARNINGS_SHARE * max(
             self.class_earnings.values(), default=1.0
         )
@@ -954,6 +952,7 @@
         return sum(self.fault_of(w) >= FAULTY_RATE for w in items) <= MIN_READY_SHARE * len(items)
 
     def fault_of(self, worker: Worker) -> float:
+        """A worker's failure rate now, after its decay."""
         if not worker.failure_rate:
             return 0.0
         return worker.failure_rate * math.exp(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -103,7 +103,7 @@
         return [end, end] if self.noise and self.rng.random() < 0.1 else [end]
 
     def random_change(self) -> api.Membership:
-        """Drain, remove or restart a random worker; the list tells all of them or this one alone."""
+        """Drain, remove or restart a random worker; the list contains all workers or only this one."""
         name = self.rng.choice(sorted(self.entries))
         changed = self.entries[name]
         kind = self.rng.choice(["drain", "gone", "restart"])
