--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -65,15 +65,13 @@
     """It waits for them only for a share of its aim; otherwise it would miss it."""
     harness = harness_with_trusted_workers(1)
     for name in ("w5", "w9"):
-        harness.dispatcher.note_others(
-            harness.dispatcher.workers[name], 10.0, 0.0
-        )  # full with jobs of others
+        # full with jobs of others
+        harness.dispatcher.note_others(harness.dispatcher.workers[name], 10.0, 0.0)
     harness.handle(api.Request(1, "pay", 4000, hint=50.0))
     aim = harness.dispatcher.classes["pay"].aim
     assert sends(harness.advance(TRUSTED_ONLY_AIM_SHARE * aim - 10)) == []
-    (sent,) = sends(
-        harness.advance(5 * harness.dispatcher.round_ms)
-    )  # the next turn, after those that placed nothing have become rare
+    # The next turn comes late, as those that placed nothing have become rare.
+    (sent,) = sends(harness.advance(5 * harness.dispatcher.round_ms))
     assert sent.worker not in ("w5", "w9", "w1")
 
 
