--- a/eiderpin/core/__init__.py
+++ b/eiderpin/core/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher's core: requests, attempts and deadlines. It knows no wire."""
+"""The dispatcher's core: requests, attempts and deadlines, independent of any network protocol."""
--- a/eiderpin/core/dispatcher.py
+++ b/eiderpin/core/dispatcher.py
@@ -1,4 +1,8 @@
-"""Events from fronts and worker links to the decision module, and its actions out to them."""
+"""The dispatcher's state machine: requests, attempts and endpoints.
+
+Fronts and worker links report what happens. Their reports are queued as events for the decision module, and
+the actions that it returns are carried out through the worker links. All times are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -22,46 +26,51 @@
     FAILED,
     Answer,
     Attempt,
-    EdgeSide,
     Request,
+    ResponseSink,
     ServiceEntry,
     Verdict,
     WorkerLink,
 )
-from eiderpin.core.shutdown import HELD_UP
+from eiderpin.core.shutdown import MAX_STALL_MS
 from eiderpin.core.slot_table import SlotTable, TableFull
 
-ANSWER_MARGIN = 15.0  # ms before a client's deadline at which its answer is due: it has to travel
-GRACE_MARGIN = HELD_UP + 50.0  # ms of a drain's grace that are left unused: a send may be held up
-WAIT_ADVICE = 500.0  # ms told to a turned-down client where the decisions name no figure
-KEPT_FOR = 60_000.0  # ms for which a result is kept for a resubmission
-KEPT_COUNT = 8192
-KEPT_BYTES = 16 * 1024 * 1024
+# Before a client's deadline its answer has to be on its way, so that it arrives in time.
+ANSWER_MARGIN_MS = 15.0
+# The last part of a worker's drain grace goes unused: the process may stall between the check and the write.
+DRAIN_GRACE_MARGIN_MS = MAX_STALL_MS + 50.0
+DEFAULT_RETRY_WAIT_MS = 500.0  # told to a rejected client where the decision module names no wait
+# Answers are retained for resubmissions of the same job, up to each of these limits.
+RETENTION_MS = 60_000.0
+MAX_RETAINED_ANSWERS = 8192
+MAX_RETAINED_BYTES = 16 * 1024 * 1024
 
 
 class IdTaken(Exception):
-    """The id is another request's."""
+    """The request id is in use by another request whose id may be given only once."""
 
 
 class WorkerOrders(Protocol):
-    """Operators' orders for workers, whatever the sources say of them."""
+    """Operators' overrides for workers, which take precedence over what the sources of workers report."""
 
     def on(self, entry: api.WorkerEntry) -> api.WorkerEntry:
-        """The worker as it is to be used."""
+        """Return the worker's entry with the operators' overrides applied."""
         ...
 
 
 class ListSource(Protocol):
-    """A source of workers whose list has to be asked for."""
+    """A source of workers whose list has to be requested."""
 
     def watch(self) -> None:
-        """Begin a watch, unless one stands or is being asked for. Its answers, and its failure, come through
-        `Dispatcher.list_told`."""
+        """Start a watch, unless one is active or being requested.
+
+        Its lists, and its failure, are reported through `Dispatcher.list_told`.
+        """
         ...
 
 
 class Dispatcher:
-    """Owns all requests and service entries; hands each batch of events to the decisions."""
+    """Owns all requests and endpoints, and passes each batch of events to the decision module."""
 
     def __init__(
         self, settings: api.Settings, seed: int, clock: Clock, deadlines: Deadlines, counters: Counters
@@ -74,69 +83,76 @@
         self.classes = {c.name: c for c in settings.classes}
         self.requests: SlotTable[Request] = SlotTable()
         self.entries: dict[str, ServiceEntry] = {}
-        self.listed = False  # some list has come
+        self.listed = False  # whether any list of workers has been received
         self._by_unique: dict[tuple[str, str], Request] = {}
-        self._by_wire: dict[str, Request] = {}
-        self.keeps_results = True  # False where no front's clients ask again: then ids are kept, no results
-        self._kept: OrderedDict[tuple[str, str], tuple[float, Answer, bool]] = OrderedDict()
-        self._kept_bytes = 0
-        self._wire_number = 0
-        self.ids_beside: set[str] = set()  # of jobs under way in the process beside us
-        self.keeper: Keeper | None = None  # of durable jobs; None: there are none
-        self.orders: WorkerOrders | None = None  # of the operators; None: there are none
-        self.source: ListSource | None = None  # None: lists come unasked
-        self.outstanding = 0  # jobs taken and not ended
-        self.answers_by = math.inf  # when the last answer is due, where the process is about to end
+        self._by_wire_id: dict[str, Request] = {}
+        # Where no front has clients that resubmit, only the ids of jobs are retained and not their results.
+        self.keeps_results = True
+        self._retained: OrderedDict[tuple[str, str], tuple[float, Answer, bool]] = OrderedDict()
+        self._retained_bytes = 0
+        self._last_wire_number = 0
+        self.ids_beside: set[str] = set()  # ids of the requests that the peer process holds
+        self.keeper: Keeper | None = None  # None: no class of jobs is durable
+        self.orders: WorkerOrders | None = None  # None: operators cannot override workers here
+        self.source: ListSource | None = None  # None: lists arrive without being requested
+        self.outstanding = 0  # requests that were accepted and have not ended
+        self.answers_by = math.inf  # when the last answer is due, once the process is shutting down
         self._events: list[api.Event] = []
         self._timers: dict[int, Deadline] = {}
 
     # -- from the fronts
 
-    def submit(self, request: Request, waiter: EdgeSide | None) -> Request:
-        """Take a job in. One that is under way or whose outcome is kept is joined, never run again.
+    def submit(self, request: Request, waiter: ResponseSink | None) -> Request:
+        """Accept a request; `waiter` is given its answer.
 
-        Raises `IdTaken` where both jobs bear ids that are given once. Joining would hand a client the answer
-        to another's request; running it would let a worker meet one id twice. Raises `OtherJob` where a
-        durable job has the name and asks for something else.
+        A resubmission joins the job of the same class and id that is running, or gets its retained answer; it
+        never runs the job again. Returns the request that will be answered, which is the running one for a
+        resubmission.
+
+        Raises `IdTaken` if the id is in use and the new request's id may be given only once: joining would
+        give this client the answer to another client's request, and running it would show a worker one id for
+        two requests. Raises `OtherJob` if a durable job of this id has another target or body.
         """
         now = self.clock.now()
-        name = (request.cls, request.unique)
+        job_key = (request.cls, request.unique)
         self.counters.add("in.requests")
-        # With no time left it is not taken on: the decisions refuse it at once.
+        # With no time left no durable job is begun: the decision module refuses the request at once.
         takes_on = self.is_durable(request.cls) and now < self.answers_by
         keeper = self.keeper if takes_on else None
         if keeper is None:
-            self._cut_short(request)
+            self._bound_deadline(request)
         if request.unique:
-            open_request = self._by_unique.get(name)
-            kept = self._kept.get(name)
-            if kept is not None and kept[0] <= now:
-                kept = None
-            taken = open_request.once if open_request is not None else kept is not None and kept[2]
-            elsewhere = (
-                open_request is None and request.unique in self._by_wire or request.unique in self.ids_beside
+            open_request = self._by_unique.get(job_key)
+            retained = self._retained.get(job_key)
+            if retained is not None and retained[0] <= now:
+                retained = None
+            is_taken = open_request.once if open_request is not None else retained is not None and retained[2]
+            is_used_elsewhere = (
+                open_request is None
+                and request.unique in self._by_wire_id
+                or request.unique in self.ids_beside
             )
-            if request.once and (taken or elsewhere):
+            if request.once and (is_taken or is_used_elsewhere):
                 raise IdTaken
             if keeper is not None and open_request is None:
                 answer = keeper.kept(request)
-                kept = (now, answer, False) if answer is not None else None
+                retained = (now, answer, False) if answer is not None else None
             if open_request is not None:
-                same = open_request.body == request.body and open_request.target == request.target
-                if keeper is not None and not same:
+                is_same_job = open_request.body == request.body and open_request.target == request.target
+                if keeper is not None and not is_same_job:
                     raise OtherJob
                 self.counters.add("in.joined")
                 if waiter is not None:
                     self._join(open_request, request, waiter)
                 open_request.background = open_request.background or request.background
                 return open_request
-            if kept is not None:
+            if retained is not None:
                 self.counters.add("in.kept")
                 request.ended = True
                 if waiter is not None and keeper is not None:
-                    keeper.tell_kept(request, kept[1], lambda answer: waiter.answer(request, answer))
+                    keeper.tell_kept(request, retained[1], lambda answer: waiter.answer(request, answer))
                 elif waiter is not None:
-                    waiter.answer(request, kept[1])
+                    waiter.answer(request, retained[1])
                 return request
         if waiter is not None:
             request.waiters.append(waiter)
@@ -146,27 +162,27 @@
             self._finish(request, self.turned_down(math.inf), EndReason.NO_ROOM)
             return request
         self.outstanding += 1
-        request.backstop = self._backstop(request)
-        request.wire_id = self._wire_name(request.unique)
-        self._by_wire[request.wire_id] = request
+        request.backstop = self._start_backstop(request)
+        request.wire_id = self._assign_wire_id(request.unique)
+        self._by_wire_id[request.wire_id] = request
         if keeper is not None and not keeper.take(request):
-            self._not_taken(request)
+            self._reject_not_durable(request)
             return request
         if request.unique:
-            self._by_unique[name] = request
+            self._by_unique[job_key] = request
         self._events.append(self.decision_request(request))
         return request
 
     def is_durable(self, cls: str) -> bool:
-        """Whether jobs of this class outlive the process."""
+        """Return whether jobs of this class survive the end of the process."""
         return self.keeper is not None and self.keeper.covers_class(cls)
 
     def decision_request(self, request: Request) -> api.Request:
-        """The request as the decisions are told of it."""
+        """Return the event that describes the request to the decision module."""
         return api.Request(
             request.id,
             request.cls,
-            request.deadline - ANSWER_MARGIN - self.clock.now(),
+            request.deadline - ANSWER_MARGIN_MS - self.clock.now(),
             request.slots,
             request.memory,
             request.tenant,
@@ -176,72 +192,85 @@
             request.priority,
         )
 
-    # -- the planned end
+    # -- shutdown
+
+    def limit_deadlines(self, latest: float) -> None:
+        """Bound the deadlines of all requests, present and future, by `latest`: the process is shutting down.
 
-    def answer_by(self, at: float) -> None:
-        """The process is about to end: no answer may be due later than `at`. Durable jobs go on after it."""
-        self.answers_by = min(self.answers_by, at)
+        Durable jobs keep their deadlines, because they continue after a restart.
+        """
+        self.answers_by = min(self.answers_by, latest)
         now = self.clock.now()
         for request in self.requests.all():
-            if request.ended or request.job or not self._cut_short(request):
+            if request.ended or request.job or not self._bound_deadline(request):
                 continue
             self.deadlines.drop(request.backstop)
-            request.backstop = self._backstop(request)
+            request.backstop = self._start_backstop(request)
             for attempt in request.attempts:
-                self._cut_attempt(attempt)
-            self._events.append(api.DeadlineMoved(request.id, request.deadline - ANSWER_MARGIN - now))
+                self._bound_attempt(attempt)
+            self._events.append(api.DeadlineMoved(request.id, request.deadline - ANSWER_MARGIN_MS - now))
 
-    def _cut_short(self, request: Request) -> bool:
-        """Bound a request's deadline by the end of the process; whether that made it earlier."""
+    def _bound_deadline(self, request: Request) -> bool:
+        """Bound a request's deadline by the process's last answers; return whether that made it earlier."""
         if request.deadline <= self.answers_by:
             return False
         request.deadline = self.answers_by
         request.cut_short = True
         return True
 
-    def _cut_attempt(self, attempt: Attempt) -> None:
+    def _bound_attempt(self, attempt: Attempt) -> None:
+        """Bound an attempt's time-out by its request's deadline."""
         left = attempt.request.deadline - attempt.made_at
         if attempt.ended or attempt.timeout <= left:
             return
         attempt.timeout = left
         self.deadlines.drop(attempt.expiry)
-        self._expire(attempt)
+        self._start_timeout(attempt)
+
+    def answer_waiter(self, request: Request, waiter: ResponseSink) -> None:
+        """Answer one waiting client because the process ends before its request does.
 
-    def answer_waiter(self, request: Request, waiter: EdgeSide) -> None:
-        """The process ends before the request does: this one is told so. One who named the job may ask for it
-        again; anybody else is told that it failed, for it may have run."""
+        A client that can resubmit the job is rejected, so that it asks again. Any other is told that the
+        request failed, since it may have run.
+        """
         if waiter in request.waiters:
             request.waiters.remove(waiter)
         request.background = request.background or bool(request.job)
         request_log.request_event("answered as the process ends", request, logging.INFO)
-        waiter.answer(request, self.turned_down() if request.named else FAILED)
+        waiter.answer(request, self.turned_down() if request.is_resubmittable else FAILED)
 
-    def _backstop(self, request: Request) -> Deadline:
-        return self.deadlines.set(request.deadline, lambda: self._overdue(request))
+    def _start_backstop(self, request: Request) -> Deadline:
+        """Schedule the answer that a request gets if nothing else answers it by its deadline."""
+        return self.deadlines.set(request.deadline, lambda: self._answer_overdue(request))
 
-    def _join(self, request: Request, asked: Request, waiter: EdgeSide) -> None:
-        """One who joins may give up before the request's own deadline, and is owed an answer by then."""
+    def _join(self, request: Request, joining: Request, waiter: ResponseSink) -> None:
+        """Let the client of a resubmission wait for the request that is already running.
+
+        Its own deadline may be earlier than that request's, and it is answered by then.
+        """
 
-        def overdue() -> None:
+        def answer_overdue() -> None:
             if waiter in request.waiters:
                 request.waiters.remove(waiter)
                 self.counters.add("answer.joined_overdue")
-                waiter.answer(request, self.turned_down() if asked.cut_short and asked.named else FAILED)
+                waiter.answer(
+                    request, self.turned_down() if joining.cut_short and joining.is_resubmittable else FAILED
+                )
 
         request.waiters.append(waiter)
-        if asked.deadline < request.deadline:
-            self.deadlines.set(asked.deadline - ANSWER_MARGIN, overdue)
+        if joining.deadline < request.deadline:
+            self.deadlines.set(joining.deadline - ANSWER_MARGIN_MS, answer_overdue)
 
-    def _wire_name(self, unique: str) -> str:
-        """The id that workers are given: the client's own where it fits a header and is free."""
+    def _assign_wire_id(self, unique: str) -> str:
+        """Return the id that workers see: the client's own if it is unused and fits a header and a path."""
         fits = 0 < len(unique) <= 128 and unique.isascii() and unique.isprintable() and " " not in unique
-        if fits and "/" not in unique and unique not in self._by_wire:
+        if fits and "/" not in unique and unique not in self._by_wire_id:
             return unique
-        self._wire_number += 1
-        return f"e{self._wire_number:x}-{int(self.clock.now()):x}"
+        self._last_wire_number += 1
+        return f"e{self._last_wire_number:x}-{int(self.clock.now()):x}"
 
-    def leave(self, request: Request, waiter: EdgeSide) -> None:
-        """One who waited has gone. A request that nobody waits for is called off."""
+    def leave(self, request: Request, waiter: ResponseSink) -> None:
+        """Note that a waiting client has disconnected; a request that nobody waits for is cancelled."""
         if waiter in request.waiters:
             request.waiters.remove(waiter)
         if request.ended or request.waiters or request.background or request.abandoned:
@@ -251,18 +280,22 @@
         self._finish(request, None, EndReason.CLIENT_LEFT)
 
     def turn_down(self, request: Request) -> None:
-        """It could not be taken on after all, and nothing of it has been sent."""
+        """Reject an accepted request that could not be stored durably; nothing of it has been sent yet."""
         if not request.ended:
             self._events.append(api.RequestGone(request.id))
-            self._not_taken(request)
+            self._reject_not_durable(request)
 
-    def _not_taken(self, request: Request) -> None:
+    def _reject_not_durable(self, request: Request) -> None:
+        """Answer with a rejection since the request could not be stored durably."""
         self.counters.add("in.not_durable")
         self._finish(request, self.turned_down(), EndReason.NOT_DURABLE)
 
-    def detach(self, request: Request, waiter: EdgeSide) -> None:
-        """As `leave`, but what has begun of a job that must not run twice is waited for, so that a
-        resubmission finds it. No further attempt begins meanwhile. A durable job goes on, as promised."""
+    def detach(self, request: Request, waiter: ResponseSink) -> None:
+        """Note that a waiting client has disconnected but may resubmit the job.
+
+        This does the same as `leave`, except that attempts of a job that must not run twice are left running,
+        so that a resubmission can join them; no further attempt starts meanwhile. A durable job continues.
+        """
         repeat = self.classes[request.cls].repeat
         begun = request.may_have_run() and repeat is not api.Repeat.FREE
         if request.unique and not request.ended:
@@ -276,73 +309,85 @@
         self,
         link: WorkerLink,
         kind: api.ListKind,
-        entries: Iterable[tuple[api.WorkerEntry, object]],
+        workers: Iterable[tuple[api.WorkerEntry, object]],
         by_discovery: bool = False,
     ) -> None:
-        """What one source of workers tells. A complete list stands for that source's workers only; a stored
-        one comes from whoever asks discovery for the present one next."""
+        """Update the endpoints from a list by one source of workers, each with its address.
+
+        A complete list covers the workers of its own source only. A stored list comes from the source that
+        requests the current list from discovery next. A failed list has no workers.
+        """
         now = self.clock.now()
         listed: list[api.WorkerEntry] = []
-        named = set()
-        for told, address in entries:
-            entry = self.orders.on(told) if self.orders is not None else told
-            known = self.entries.get(entry.name)
-            if known is None:
-                known = self.entries[entry.name] = ServiceEntry(entry, address, link)
-            known.told = told
-            self._tell(known, entry, address, now)
-            named.add(entry.name)
-            listed.append(entry)
+        names = set()
+        for source_entry, address in workers:
+            worker = self.orders.on(source_entry) if self.orders is not None else source_entry
+            entry = self.entries.get(worker.name)
+            if entry is None:
+                entry = self.entries[worker.name] = ServiceEntry(worker, address, link)
+            entry.source_entry = source_entry
+            self._update_endpoint(entry, worker, address, now)
+            names.add(worker.name)
+            listed.append(worker)
         if kind in (api.ListKind.COMPLETE, api.ListKind.STORED):
-            for known in self.entries.values():
-                if known.link is link and known.name not in named:
-                    if known.listed.state is not api.WorkerState.GONE:
-                        gone = replace(known.listed, state=api.WorkerState.GONE)
-                        self._tell(known, gone, known.address, now)
-                elif known.link is not link:
-                    listed.append(known.listed)
+            for entry in self.entries.values():
+                if entry.link is link and entry.name not in names:
+                    if entry.listed.state is not api.WorkerState.GONE:
+                        gone = replace(entry.listed, state=api.WorkerState.GONE)
+                        self._update_endpoint(entry, gone, entry.address, now)
+                elif entry.link is not link:
+                    listed.append(entry.listed)
         self.listed = self.listed or kind is not api.ListKind.FAILED
         is_being_asked = kind is api.ListKind.STORED and self.source is None
         self._events.append(api.Membership(kind, listed, by_discovery, is_being_asked))
 
     def reorder(self, names: Iterable[str]) -> None:
-        """The operators' orders for these workers have changed."""
+        """Update the workers of these names, whose overrides have changed."""
         changed = []
         for name in names:
-            known = self.entries.get(name)
-            if known is None or known.told is None or not known.listed_now or self.orders is None:
+            entry = self.entries.get(name)
+            if entry is None or entry.source_entry is None or not entry.is_listed or self.orders is None:
                 continue
-            entry = self.orders.on(known.told)
-            if entry != known.listed:
-                self._tell(known, entry, known.address, self.clock.now())
-                changed.append(entry)
+            worker = self.orders.on(entry.source_entry)
+            if worker != entry.listed:
+                self._update_endpoint(entry, worker, entry.address, self.clock.now())
+                changed.append(worker)
         if changed:
             self._events.append(api.Membership(api.ListKind.CHANGES, changed, by_discovery=False))
 
     def share(self, instances: int, instance: int) -> bool:
-        """So many dispatchers share the workers now, and we are this one of them; whether that is news."""
+        """Set the number of dispatchers that share the workers, and this one's number among them, from 0.
+
+        Returns whether either has changed.
+        """
         if (self.settings.instances, self.settings.instance) == (instances, instance):
             return False
         self.settings.instances, self.settings.instance = instances, instance
         return True
 
-    def _tell(self, known: ServiceEntry, entry: api.WorkerEntry, address: object, now: float) -> None:
-        known.listed, known.address = entry, address
-        if entry.state is api.WorkerState.IN_SERVICE:
-            known.left_at = None
-        elif known.left_at is None:
-            known.left_at = now
-        known.link.entry_changed(known)
+    def _update_endpoint(
+        self, entry: ServiceEntry, worker: api.WorkerEntry, address: object, now: float
+    ) -> None:
+        """Set an endpoint's worker and address, and inform its link."""
+        entry.listed, entry.address = worker, address
+        if worker.state is api.WorkerState.IN_SERVICE:
+            entry.withdrawn_at = None
+        elif entry.withdrawn_at is None:
+            entry.withdrawn_at = now
+        entry.link.entry_changed(entry)
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """The one question that each link asks just before the first byte of an attempt, however long it took
-        to get there: is somebody still waiting, does the worker still take new work, and do the decisions
-        still stand by it (its window, its deadline, what else of the job may have run)?"""
+        """Return whether the first byte of an attempt may be written now.
+
+        Every link asks this just before that byte, however long it took to get there. An attempt may begin if
+        somebody still waits for the request, the worker still accepts new work, and the decision module still
+        agrees: it checks the repeat window, the deadline, and which other attempts may have run.
+        """
         request, now = attempt.request, self.clock.now()
-        if attempt.ended or not request.wanted or self.is_deserted(request):
+        if attempt.ended or not request.may_start_attempt or self.is_deserted(request):
             return False
-        grace = self.settings.drain_grace - GRACE_MARGIN
-        if not attempt.entry.may_be_sent(now, grace):
+        grace = self.settings.drain_grace - DRAIN_GRACE_MARGIN_MS
+        if not attempt.entry.accepts_sends(now, grace):
             self.counters.add("out.late.drained")
             return False
         if not self.module.may_begin(request.id, attempt.number, now):
@@ -351,20 +396,24 @@
         return True
 
     def time_left(self, attempt: Attempt) -> float:
-        """ms for which a server may work at this attempt and its answer still reach the client in time."""
-        until = min(attempt.made_at + attempt.timeout, attempt.request.deadline - ANSWER_MARGIN)
+        """Return for how long, in ms, a worker may run this attempt so that its answer is still in time."""
+        until = min(attempt.made_at + attempt.timeout, attempt.request.deadline - ANSWER_MARGIN_MS)
         return until - self.clock.now()
 
     def is_deserted(self, request: Request) -> bool:
-        """Whether all who wait have gone by now: the process may have been held up, and what is ready first
-        in a turn of the loop need not have come first."""
+        """Return whether all waiting clients have disconnected, even if that has not been processed yet.
+
+        After a stall of the process, the events that are ready in one turn of the event loop are not always
+        processed in the order in which they occurred. Always false for a durable or background request, which
+        needs no waiting client.
+        """
         if request.background or request.job or not all(w.has_left() for w in request.waiters):
             return False
         self.counters.add("out.late.deserted")
         return True
 
     def written(self, attempt: Attempt) -> None:
-        """The whole of a send is out: from here on it may have run."""
+        """Note that an attempt has been written in full: from now on it may have run."""
         attempt.may_have_run = True
         self.counters.add("out.attempts")
         request_log.attempt_event("an attempt is out whole", attempt)
@@ -373,8 +422,11 @@
         self, attempt: Attempt, outcome: api.Outcome, result: bytes = b"", stale: bool = False,
         report: api.Report | None = None,
     ) -> None:  # fmt: skip
-        """How an attempt ended; a first result goes to those who wait. `stale`: for a connection that had
-        stood idle, which says nothing of the worker. `report`: the load that its worker told with it."""
+        """Note how an attempt ended; the first result of a request goes to its waiting clients.
+
+        `stale`: it failed on an idle connection that had gone bad, which does not count against the worker.
+        `report`: the load that the worker reported with its answer.
+        """
         if attempt.ended:
             return
         attempt.ended = True
@@ -393,19 +445,19 @@
             self.keeper.released(attempt, outcome)
         if outcome is api.Outcome.DONE and not request.ended:
             self._finish(request, Answer(Verdict.SERVED, result), EndReason.RESULT)
-        elif request.abandoned and not request.wanted and all(s.ended for s in request.attempts):
-            self._finish(
-                request, None, EndReason.CLIENT_LEFT
-            )  # its client has gone: no further attempt begins
+        elif request.abandoned and not request.may_start_attempt and all(s.ended for s in request.attempts):
+            # Its client has disconnected, so no further attempt will start.
+            self._finish(request, None, EndReason.CLIENT_LEFT)
         self._events.append(
             api.AttemptEnded(
                 request.id, attempt.number, attempt.entry.name, outcome,
                 self.clock.now() - attempt.made_at, request.ended, report, stale,
             )
         )  # fmt: skip
-        self._release(request)
+        self._free_slot(request)
 
     def progress(self, attempt: Attempt, started: bool, share: float = 0.0) -> None:
+        """Note that a worker has started an attempt, or else that `share` of it (0 to 1) is done."""
         if attempt.ended:
             return
         attempt.accepted = True
@@ -419,28 +471,35 @@
                 waiter.progress(request, share)
 
     def data_part(self, attempt: Attempt, data: bytes, warning: bool) -> None:
-        """A worker's partial data, for those fronts that pass it on."""
+        """Pass a worker's partial data to the fronts of the waiting clients."""
         for waiter in attempt.request.waiters:
             waiter.data_part(attempt.request, data, warning)
 
     def probed(self, entry: ServiceEntry, ok: bool, elapsed: float, report: api.Report | None = None) -> None:
+        """Note the result of a probe; `elapsed` is in ms."""
         self.counters.add("out.probe.answered" if ok else "out.probe.failed")
         self._events.append(api.ProbeEnded(entry.name, ok, elapsed, report))
 
-    # -- with an older or a newer process beside us
+    # -- the peer process, older or newer, during an upgrade
 
     def tell(self, event: api.Beside | api.Adopted | api.Request | api.RequestGone) -> None:
-        """What that process holds, or hands to us, is for the decisions to know; so is what a ledger
-        brings."""
+        """Queue an event for the decision module.
+
+        It tells what the peer process holds, or that a request moves between processes or is recovered from
+        the ledger.
+        """
         self._events.append(event)
 
     def tell_learned(self, found: Learned) -> None:
-        """What another process has learned, after all that has come in."""
+        """Pass on what another process has learned of workers, after all events queued so far."""
         self.decide()
         learned.take(self.module, found)
 
-    def let_go(self, request: Request) -> None:
-        """It lives on elsewhere: nobody is answered and nothing is called off here."""
+    def hand_off(self, request: Request) -> None:
+        """Drop a request that another process continues.
+
+        Its clients are not answered here, and its attempts are not cancelled.
+        """
         request.ended = True
         request.waiters.clear()
         self.outstanding -= 1
@@ -450,67 +509,77 @@
             self.deadlines.drop(attempt.expiry)
         self.counters.add("out.requests_moved")
         self._by_unique.pop((request.cls, request.unique), None)
-        self._release(request)
+        self._free_slot(request)
+
+    def take_over(self, request: Request, waiter: ResponseSink | None) -> None:
+        """Accept a request that another process held, with its attempts.
 
-    def take_over(self, request: Request, waiter: EdgeSide | None) -> None:
-        """It has lived elsewhere, and is ours from now on. Raises `ValueError` and `TableFull`."""
-        name = (request.cls, request.unique)
-        if (request.unique and name in self._by_unique) or request.wire_id in self._by_wire:
-            raise ValueError("its id is another's here")
+        Raises `ValueError` if its id is in use here, and `TableFull` if there is no room for it.
+        """
+        job_key = (request.cls, request.unique)
+        if (request.unique and job_key in self._by_unique) or request.wire_id in self._by_wire_id:
+            raise ValueError("the request's id is in use in this process")
         request.id = self.requests.add(request)
         self.counters.add("in.requests_moved")
         self.outstanding += 1
         if waiter is not None:
             request.waiters.append(waiter)
-        if not request.job:  # a durable one goes on after the end of the process
-            self._cut_short(request)
-        request.backstop = self._backstop(request)
+        if not request.job:  # a durable job continues after the end of the process
+            self._bound_deadline(request)
+        request.backstop = self._start_backstop(request)
         if request.unique:
-            self._by_unique[name] = request
-        self._by_wire[request.wire_id] = request
+            self._by_unique[job_key] = request
+        self._by_wire_id[request.wire_id] = request
         for attempt in request.attempts:
             if not attempt.ended:
-                self._expire(attempt)
+                self._start_timeout(attempt)
 
-    def _expire(self, attempt: Attempt) -> None:
+    def _start_timeout(self, attempt: Attempt) -> None:
+        """Schedule the time-out of an attempt."""
         at = attempt.made_at + attempt.timeout
-        attempt.expiry = self.deadlines.set(at, lambda: self._timed_out(attempt))
+        attempt.expiry = self.deadlines.set(at, lambda: self._time_out(attempt))
 
     def request_of(self, wire_id: str) -> Request | None:
-        return self._by_wire.get(wire_id)
+        """Return the request that workers know by this id, until it has ended and so have its attempts."""
+        return self._by_wire_id.get(wire_id)
 
     def request_by_unique(self, unique: str) -> Request | None:
-        return next((f for c in self.classes if (f := self._by_unique.get((c, unique)))), None)
+        """Return the running request that its client submitted with this id, in whichever class."""
+        return next((found for cls in self.classes if (found := self._by_unique.get((cls, unique)))), None)
 
     def late_result(self, request: Request, result: bytes) -> None:
-        """A worker finished an attempt that had been counted as ended: its result is as good as any."""
+        """Use the result of an attempt that had been counted as ended."""
         if not request.ended:
             self._events.append(api.RequestGone(request.id))
             self._finish(request, Answer(Verdict.SERVED, result), EndReason.LATE_RESULT)
         elif (
-            request.unique and self._kept.get((request.cls, request.unique), (0.0, None, False))[1] == FAILED
+            request.unique
+            and self._retained.get((request.cls, request.unique), (0.0, None, False))[1] == FAILED
         ):
-            self._keep(
-                request, Answer(Verdict.SERVED, result)
-            )  # too late for an answer, not for a resubmission
+            # The request has been answered as failed, but a resubmission can still get the result.
+            self._retain(request, Answer(Verdict.SERVED, result))
 
-    # -- the decisions
+    # -- the decision module
 
     def decide(self) -> None:
-        """Hand over what has come in and carry out what is decided."""
+        """Pass the queued events to the decision module and perform the actions that it returns."""
         while self._events:
             events, self._events = self._events, []
             for action in self.module.handle(self.clock.now(), events):
-                self._act(action)
+                self._perform(action)
 
     def turned_down(self, wait: float | None = None) -> Answer:
-        """The answer that asks a client to stay away for so many ms, where the settings let it be told."""
+        """Return the answer that rejects a request.
+
+        Where the settings allow it, the answer advises a wait of at most `max_wait_advice` ms before a retry.
+        """
         if not self.settings.may_advise_wait:
             return Answer(Verdict.TURNED_DOWN)
-        wait = min(self.settings.max_wait_advice, WAIT_ADVICE if wait is None else wait)
+        wait = min(self.settings.max_wait_advice, DEFAULT_RETRY_WAIT_MS if wait is None else wait)
         return Answer(Verdict.TURNED_DOWN, wait=wait)
 
-    def _act(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
+        """Carry out one action of the decision module."""
         if isinstance(action, api.Send):
             self._send(action)
         elif isinstance(action, api.Cancel):
@@ -536,6 +605,7 @@
             self.source.watch()
 
     def _send(self, action: api.Send) -> None:
+        """Start an attempt; that of a durable job is sent once its lease is on disk."""
         request = self.requests.get(action.request)
         entry = self.entries.get(action.worker)
         if request is None or entry is None:
@@ -548,7 +618,7 @@
         request.attempts.append(attempt)
         request_log.attempt_event("an attempt is sent", attempt, time_out=round(timeout))
         if must(not request.ended, "no send after the end"):
-            self._expire(attempt)
+            self._start_timeout(attempt)
             if request.job and self.keeper is not None:
                 self.keeper.lease(attempt, lambda: entry.link.send(attempt))
             else:
@@ -556,34 +626,39 @@
         else:
             self.ended(attempt, api.Outcome.NOT_SENT)
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _time_out(self, attempt: Attempt) -> None:
+        """End an attempt whose time is over."""
         if not attempt.ended:
             attempt.entry.link.cancel(attempt)
             self.ended(attempt, api.Outcome.TIMED_OUT)
 
     def _cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt that has not ended."""
         if not attempt.ended:
             self.counters.add("out.cancels")
             attempt.entry.link.cancel(attempt)
             self.ended(attempt, api.Outcome.CANCELLED)
 
-    def _overdue(self, request: Request) -> None:
-        """The decisions answer each request before this; should they not, the client still hears."""
+    def _answer_overdue(self, request: Request) -> None:
+        """Answer a request that the decision module has left unanswered until its deadline.
+
+        That should never happen; this makes sure that the client gets an answer even so.
+        """
         if not request.ended:
-            self.decide()  # late as we are, theirs may be the word that comes in this very turn
+            self.decide()  # if the process is late, the decision module may still answer in this very turn
         if not must(request.ended, "every request is answered by its deadline"):
             self._events.append(api.RequestGone(request.id))
             self._finish(request, FAILED, EndReason.OVERDUE)
 
-    # -- the figures
+    # -- figures for operators
 
     def count_answer(self, cls: str, verdict: Verdict) -> None:
-        """Count one job's end. Fronts call it only for jobs that they refuse before there is a request."""
+        """Count one answer. Fronts call this only for jobs that they reject before there is a request."""
         self.counters.add(f"answer.{cls}.{verdict.value}")
 
     def figures(self) -> dict[str, Any]:
-        """What on-call staff read: how the jobs of each class ended, and how things stand."""
-        counts, listed = self.counters.counts, [e for e in self.entries.values() if e.listed_now]
+        """Return the figures for operators: how the jobs of each class ended, and the present state."""
+        counts, listed = self.counters.counts, [e for e in self.entries.values() if e.is_listed]
         return {
             "results": {c: {v.value: counts[f"answer.{c}.{v.value}"] for v in Verdict} for c in self.classes},
             "forwards": counts["out.attempts"],
@@ -592,33 +667,33 @@
             "ejected": len(self.module.avoided(self.clock.now()) & {e.name for e in listed}),
         }
 
-    # -- the end of a request
+    # -- how a request ends
 
-    def _finish(self, request: Request, answer: Answer | None, why: EndReason) -> None:
-        """The request is over; without an answer, since nobody waits for one."""
+    def _finish(self, request: Request, answer: Answer | None, reason: EndReason) -> None:
+        """End a request; `answer` is None if nobody waits for one."""
         if not must(not request.ended, "one final answer per request"):
             return
         request.ended = True
-        self.counters.add(f"end.{why.value}")
+        self.counters.add(f"end.{reason.value}")
         self.deadlines.drop(request.backstop)
         self.outstanding -= request.id >= 0
         if answer is None:
             self.counters.add("answer.nobody")
         else:
             self.count_answer(request.cls, answer.verdict)
-        self._withdraw(request)
-        told, answer = answer is not None and bool(request.waiters), answer or FAILED
-        self._tell_end(request, answer, why)
+        self._cancel_unsent_attempts(request)
+        is_answered, answer = answer is not None and bool(request.waiters), answer or FAILED
+        self._log_end(request, answer, reason)
         if request.job and self.keeper is not None:
-            # Until its end is on disk it can be joined, and nobody hears of it.
-            self.keeper.end(request, answer, told, lambda answer: self._give(request, answer))
+            # Nobody is answered until the end is on disk; until then a resubmission can join the job.
+            self.keeper.end(request, answer, is_answered, lambda answer: self._deliver(request, answer))
         else:
-            self._give(request, answer)
-        self._release(request)
+            self._deliver(request, answer)
+        self._free_slot(request)
 
-    def _tell_end(self, request: Request, answer: Answer, why: EndReason) -> None:
-        """The log event of a request's end; where the end of the process has caused it, operators see it."""
-        cut = request.cut_short and self.clock.now() >= self.answers_by - ANSWER_MARGIN
+    def _log_end(self, request: Request, answer: Answer, reason: EndReason) -> None:
+        """Log a request's end: at INFO level where the shutdown cut its deadline short, else at DEBUG."""
+        cut = request.cut_short and self.clock.now() >= self.answers_by - ANSWER_MARGIN_MS
         if cut:
             self.counters.add("end.cut_short")
         request_log.request_event(
@@ -626,49 +701,62 @@
             request,
             logging.INFO if cut else logging.DEBUG,
             end=answer.verdict.value,
-            why=why.value,
+            why=reason.value,
             cut_short=cut,
         )
 
-    def _withdraw(self, request: Request) -> None:
-        """Of a job that is over nothing more begins. What has not gone out whole is taken back here, at once:
-        it never ran, and so that needs no leave to call off what workers have."""
+    def _cancel_unsent_attempts(self, request: Request) -> None:
+        """Withdraw the attempts of an ended request that have not been written in full.
+
+        They never ran, so this is allowed even where the settings forbid cancelling what workers received.
+        """
         for attempt in request.attempts:
             if not attempt.ended and not attempt.may_have_run:
                 attempt.entry.link.cancel(attempt)
                 self.ended(attempt, api.Outcome.NOT_SENT)
 
-    def _give(self, request: Request, answer: Answer) -> None:
+    def _deliver(self, request: Request, answer: Answer) -> None:
+        """Give the final answer to all waiting clients, and retain it for resubmissions."""
         if request.unique and self._by_unique.get((request.cls, request.unique)) is request:
             del self._by_unique[request.cls, request.unique]
             if not request.job:
-                self._keep(request, answer)
+                self._retain(request, answer)
         waiters, request.waiters = request.waiters, []
         for waiter in waiters:
             waiter.answer(request, answer)
 
-    def _release(self, request: Request) -> None:
-        """Free the slot once nothing is owed or out. Workers' news of a finished request find no request."""
+    def _free_slot(self, request: Request) -> None:
+        """Free the slot of an ended request once all its attempts have ended.
+
+        What workers report of it afterwards no longer finds the request.
+        """
         if request.ended and request.id >= 0 and all(s.ended for s in request.attempts):
             self.requests.remove(request.id)
-            if self._by_wire.get(request.wire_id) is request:
-                del self._by_wire[request.wire_id]
+            if self._by_wire_id.get(request.wire_id) is request:
+                del self._by_wire_id[request.wire_id]
 
-    def _keep(self, request: Request, answer: Answer) -> None:
-        """Keep what a resubmission must be told: a result, or that a job which may not run twice may have."""
-        single = self.classes[request.cls].repeat is not api.Repeat.FREE
-        if answer.verdict is Verdict.SERVED or (single and request.may_have_run()):
+    def _retain(self, request: Request, answer: Answer) -> None:
+        """Retain the answer for resubmissions, where it matters to them.
+
+        That is a result, or the failure of a job that may have run and must not run again.
+        """
+        must_not_rerun = self.classes[request.cls].repeat is not api.Repeat.FREE
+        if answer.verdict is Verdict.SERVED or (must_not_rerun and request.may_have_run()):
             if answer.verdict is not Verdict.SERVED or not self.keeps_results:
                 answer = FAILED
-            name = (request.cls, request.unique)
-            old = self._kept.pop(name, None)
-            self._kept_bytes += len(answer.result) - (len(old[1].result) if old else 0)
+            job_key = (request.cls, request.unique)
+            replaced = self._retained.pop(job_key, None)
+            self._retained_bytes += len(answer.result) - (len(replaced[1].result) if replaced else 0)
             now = self.clock.now()
-            self._kept[name] = (now + KEPT_FOR, answer, request.once)
-            while self._kept:
-                first = next(iter(self._kept))
-                until, oldest, _ = self._kept[first]
-                if until > now and len(self._kept) <= KEPT_COUNT and self._kept_bytes <= KEPT_BYTES:
+            self._retained[job_key] = (now + RETENTION_MS, answer, request.once)
+            while self._retained:
+                oldest_key = next(iter(self._retained))
+                until, oldest, _ = self._retained[oldest_key]
+                if (
+                    until > now
+                    and len(self._retained) <= MAX_RETAINED_ANSWERS
+                    and self._retained_bytes <= MAX_RETAINED_BYTES
+                ):
                     break
-                del self._kept[first]
-                self._kept_bytes -= len(oldest.result)
+                del self._retained[oldest_key]
+                self._retained_bytes -= len(oldest.result)
--- a/eiderpin/core/durability.py
+++ b/eiderpin/core/durability.py
@@ -1,4 +1,4 @@
-"""What the core asks of whoever keeps durable jobs. Where the feature is off there is no such object."""
+"""What the core requires of a manager of durable jobs. Without durable jobs there is no such object."""
 
 from __future__ import annotations
 
@@ -10,46 +10,59 @@
 
 
 class OtherJob(Exception):
-    """The name is that of a job that asked for something else."""
+    """The job of this name was submitted with another target or body."""
 
 
 class Keeper(Protocol):
+    """Stores durable jobs, their leases and their ends."""
+
     def covers_class(self, cls: str) -> bool:
-        """Whether jobs of this class have to outlive the process."""
+        """Return whether jobs of this class are durable."""
         ...
 
     def kept(self, request: Request) -> Answer | None:
-        """The answer of an ended job by this name. Raises `OtherJob`."""
+        """Return the stored answer of the ended job of this name, if there is one.
+
+        Raises `OtherJob` if that job had another target or body.
+        """
         ...
 
-    def tell_kept(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
-        """Tell a kept answer, once it is on disk that somebody has been told."""
+    def tell_kept(self, request: Request, answer: Answer, deliver: Callable[[Answer], None]) -> None:
+        """Pass a stored answer to `deliver`, once it is on disk that a client has been answered."""
         ...
 
     def take(self, request: Request) -> bool:
-        """Take it on; False: the disk takes nothing now."""
+        """Store a new job; return False if the disk cannot be written now."""
         ...
 
     def when_kept(self, request: Request, call: Callable[[bool], None]) -> None:
-        """Call once all that has been said of it is on disk (True), or cannot be put there (False)."""
+        """Call `call` once all records of the job are on disk (True) or cannot be written (False)."""
         ...
 
     def lease(self, attempt: Attempt, send: Callable[[], None]) -> None:
-        """Write the lease; `send` is called once it is on disk, and never where it cannot be written."""
+        """Write an attempt's lease and call `send` once it is on disk; never if it cannot be written."""
         ...
 
     def renew(self, attempt: Attempt) -> None:
-        """Its worker has told of it."""
+        """Renew an attempt's lease, since its worker has reported progress."""
         ...
 
     def released(self, attempt: Attempt, outcome: Outcome) -> None:
-        """The attempt has ended."""
+        """Note that an attempt has ended, which releases its lease."""
         ...
 
-    def end(self, request: Request, answer: Answer, told: bool, tell: Callable[[Answer], None]) -> None:
-        """Write its end; `tell` is called once that is on disk, or at its deadline with a failure."""
+    def end(
+        self, request: Request, answer: Answer, is_answered: bool, deliver: Callable[[Answer], None]
+    ) -> None:
+        """Write a job's end and then pass its answer to `deliver`, or a failure if its deadline comes first.
+
+        `is_answered`: a client waits for this answer.
+        """
         ...
 
     def late(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
-        """A worker tells of a job that is under way no more; whether it was one of ours."""
+        """Handle a worker's report on a job that is no longer running.
+
+        Returns whether the job is one of this manager's.
+        """
         ...
--- a/eiderpin/core/invariants.py
+++ b/eiderpin/core/invariants.py
@@ -1,14 +1,17 @@
-"""What must hold: asserted in debug builds, counted under `python -O`."""
+"""Invariants: asserted in normal runs, and only counted under `python -O`."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-broken: Counter[str] = Counter()
+broken: Counter[str] = Counter()  # violations, by the name of the invariant
 
 
 def must(condition: bool, what: str) -> bool:
-    """Note that `what` should hold; returns whether it does."""
+    """Check the invariant named `what`, count a violation, and return whether it holds.
+
+    Raises `AssertionError` if it does not, except under `python -O`.
+    """
     if not condition:
         broken[what] += 1
         assert condition, what
--- a/eiderpin/core/learned.py
+++ b/eiderpin/core/learned.py
@@ -1,4 +1,7 @@
-"""What one dispatcher process tells another as learned of workers: checked before the decisions see it."""
+"""What a dispatcher process has learned of workers, as passed to another process as a warm-start hint.
+
+A hint is checked before the decision module receives it.
+"""
 
 from __future__ import annotations
 
@@ -7,29 +10,36 @@
 if TYPE_CHECKING:
     from eiderpin.decide import Dispatcher
 
-FIGURES = {"shapes": 5, "workers": 4, "fleet": 3}  # of each kind that the decisions tell as learned
+FIGURES_PER_KIND = {"shapes": 5, "workers": 4, "fleet": 3}
 
-Learned: TypeAlias = dict[str, dict[str, tuple[float, ...]]]
+Learned: TypeAlias = dict[str, dict[str, tuple[float, ...]]]  # figures by kind and name
 
 
 def of(module: Dispatcher) -> Learned:
-    """What a process that begins beside this one need not find out anew."""
+    """Return what this process has learned, so that a new process need not learn it again.
+
+    The result is empty as long as this process has seen no run.
+    """
     if module.pace.work <= 0:
         return {}
     return {
         "shapes": {
-            name: (s.slots, s.misses, s.slow, s.pace.run, s.pace.work) for name, s in module.shapes.items()
+            name: (shape.slots, shape.misses, shape.slow, shape.pace.run, shape.pace.work)
+            for name, shape in module.shapes.items()
         },
         "workers": {
-            name: (w.slow, w.pace.run, w.pace.work, module.fault_of(w))
-            for name, w in module.workers.items() if w.pace.work or w.fault
+            name: (worker.slow, worker.pace.run, worker.pace.work, module.fault_of(worker))
+            for name, worker in module.workers.items() if worker.pace.work or worker.fault
         },
         "fleet": {"": (module.run_mean, module.pace.run, module.pace.work)},
     }  # fmt: skip
 
 
 def take(module: Dispatcher, learned: Learned) -> None:
-    """Before its first run, what another process has learned is better than this one's guesses."""
+    """Replace this process's initial estimates by what another process has learned.
+
+    Ignored once this process has seen a run of its own. Shapes and workers that it does not know are skipped.
+    """
     if module.pace.work > 0:
         return
     for name, (slots, misses, slow, run, work) in learned.get("shapes", {}).items():
@@ -48,17 +58,21 @@
         module.slow_mean = run / max(work, 1.0)
 
 
-def check(said: Any) -> Learned:
-    """Raises `ValueError`, `KeyError`, `TypeError` or `AttributeError` where it makes no sense."""
-    found: Learned = {}
-    for kind, of in said.items():
-        count = FIGURES[kind]
-        found[kind] = {str(name): _floats(figures, count) for name, figures in of.items()}
-    return found
+def check(data: Any) -> Learned:
+    """Check and convert what another process has sent as learned.
+
+    Raises `ValueError`, `KeyError`, `TypeError` or `AttributeError` if it is malformed.
+    """
+    result: Learned = {}
+    for kind, figures_by_name in data.items():
+        count = FIGURES_PER_KIND[kind]
+        result[kind] = {str(name): _floats(figures, count) for name, figures in figures_by_name.items()}
+    return result
 
 
 def _floats(figures: Any, count: int) -> tuple[float, ...]:
-    got = tuple(float(x) for x in figures)
-    if len(got) != count or not all(0 <= x < 1e12 for x in got):
-        raise ValueError("no such figures")
-    return got
+    """Convert `count` figures; raises `ValueError` if their number or one of their values is not valid."""
+    values = tuple(float(figure) for figure in figures)
+    if len(values) != count or not all(0 <= value < 1e12 for value in values):
+        raise ValueError("wrong number of figures, or a figure out of range")
+    return values
--- a/eiderpin/core/moves.py
+++ b/eiderpin/core/moves.py
@@ -1,4 +1,4 @@
-"""Requests that go from an old process to the new one beside it, with the attempts that are out for them."""
+"""Transfer of requests, with their running attempts, from an old process to the new one during an upgrade."""
 
 from __future__ import annotations
 
@@ -7,19 +7,22 @@
 
 from eiderpin import interface as api
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.requests import Attempt, EdgeSide, Request
+from eiderpin.core.requests import Attempt, Request, ResponseSink
 from eiderpin.core.slot_table import TableFull
 
 
 @dataclass(slots=True)
 class Moved:
-    """A request on its way. Times are in ms from now, or ago: the processes' clocks may differ."""
+    """A request in transfer.
+
+    Times are in ms from now, or ago, because the clocks of the two processes may differ.
+    """
 
     cls: str
     unique: str
     target: str
     body: str
-    left: float
+    left: float  # ms until its deadline
     slots: float
     memory: float
     tenant: str | None
@@ -29,14 +32,14 @@
     priority: int
     wire_id: str
     share: float
-    attempts: list[list[Any]]  # worker, ms ago, time-out, whether it may have run, whether it has ended
-    standing: dict[str, Any]  # what the decisions know of it: an `api.Standing`
+    attempts: list[list[Any]]  # worker, ms since it was made, time-out, may have run, has ended
+    standing: dict[str, Any]  # what the decision module knows of it: an `api.Standing`
     idempotency_key: str | None = None
 
 
 @dataclass(slots=True)
 class Waits:
-    """A client that waits for a durable job, on its way to the ledger's next owner."""
+    """A client that waits for a durable job, in transfer to the next owner of the ledger."""
 
     cls: str
     unique: str
@@ -46,38 +49,46 @@
     idempotency_key: str | None = None
 
 
-def let_durable_go(core: Dispatcher, request: Request) -> list[tuple[Waits, EdgeSide]]:
-    """Take a durable request out of here: the ledger says all that there is to say of it. Returns those who
-    wait for it."""
+def let_durable_go(core: Dispatcher, request: Request) -> list[tuple[Waits, ResponseSink]]:
+    """Drop a durable request here, since the ledger holds all that its next owner needs.
+
+    Returns the clients that wait for it.
+    """
     now = core.clock.now()
-    waits = Waits(
+    client = Waits(
         request.cls, request.unique, request.target.decode("latin-1"), request.body.decode("latin-1"),
         request.deadline - now, request.idempotency_key,
     )  # fmt: skip
     waiters = list(request.waiters)
-    core.let_go(request)
+    core.hand_off(request)
     core.tell(api.RequestGone(request.id))
-    return [(waits, waiter) for waiter in waiters]
+    return [(client, waiter) for waiter in waiters]
+
 
+def asked_by(core: Dispatcher, client: Waits) -> Request:
+    """Return the request by which a waiting client resubmits its job to the ledger's next owner.
 
-def asked_by(core: Dispatcher, waits: Waits) -> Request:
-    """The request by which it asks again at the next owner. Raises `ValueError`."""
-    if waits.cls not in core.classes or not waits.unique:
-        raise ValueError("no such job")
+    Raises `ValueError` if its class is unknown here or the job has no name.
+    """
+    if client.cls not in core.classes or not client.unique:
+        raise ValueError("the job's class is unknown or it has no name")
     return Request(
-        waits.cls, waits.unique, waits.target.encode("latin-1"), waits.body.encode("latin-1"),
-        core.clock.now() + float(waits.left), idempotency_key=waits.idempotency_key,
+        client.cls, client.unique, client.target.encode("latin-1"), client.body.encode("latin-1"),
+        core.clock.now() + float(client.left), idempotency_key=client.idempotency_key,
     )  # fmt: skip
 
 
 def hand_out(core: Dispatcher, request: Request) -> Moved | None:
-    """Take a request out of here, and out of the decisions; None where it has to stay. Nothing is called
-    off."""
-    core.decide()  # what has come in for it must not be lost
-    out = [s for s in request.attempts if not s.ended]
+    """Take a request out of this process and its decision module, without cancelling anything.
+
+    Returns None if the request has to stay: a request that has ended, a background job, one whose client can
+    resubmit it, a durable job, or one that its links or the decision module cannot transfer.
+    """
+    core.decide()  # events that are queued for the request must not be lost
+    running = [attempt for attempt in request.attempts if not attempt.ended]
     if request.ended or request.background or not request.once or request.job:
-        return None  # a durable one belongs to the ledger, and goes with that
-    if not all(s.entry.link.may_move(s) for s in out):
+        return None  # a durable job is transferred with the ledger
+    if not all(attempt.entry.link.may_move(attempt) for attempt in running):
         return None
     standing = core.module.hand_out(request.id, core.clock.now())
     if standing is None:
@@ -87,31 +98,37 @@
         request.cls, request.unique, request.target.decode("latin-1"), request.body.decode("latin-1"),
         request.deadline - now, request.slots, request.memory, request.tenant, request.key, request.hint,
         request.client_retry, request.priority, request.wire_id, request.share,
-        [[s.entry.name, now - s.made_at, s.timeout, s.may_have_run, s.ended] for s in request.attempts],
+        [
+            [attempt.entry.name, now - attempt.made_at, attempt.timeout, attempt.may_have_run, attempt.ended]
+            for attempt in request.attempts
+        ],
         asdict(standing), request.idempotency_key,
     )  # fmt: skip
-    core.let_go(request)
+    core.hand_off(request)
     return moved
 
 
-def adopt(core: Dispatcher, moved: Moved, waiter: EdgeSide) -> Request:
-    """Take a request in as it stands elsewhere. Raises `ValueError` where it cannot be."""
+def adopt(core: Dispatcher, moved: Moved, waiter: ResponseSink) -> Request:
+    """Accept a request in the state that another process had it in; `waiter` is given its answer.
+
+    Raises `ValueError` if this process cannot continue it.
+    """
     now = core.clock.now()
-    if moved.cls not in core.classes or any(s[0] not in core.entries for s in moved.attempts):
-        raise ValueError("its class or a worker of its is not known here")
+    if moved.cls not in core.classes or any(attempt[0] not in core.entries for attempt in moved.attempts):
+        raise ValueError("the request's class or one of its workers is unknown in this process")
     standing = api.Standing(**moved.standing)
     if not all(0 <= number < len(moved.attempts) for number, _, _ in standing.out):
-        raise ValueError("an attempt that was never made")
+        raise ValueError("the request's state names an attempt that does not exist")
     request = Request(
         moved.cls, moved.unique, moved.target.encode("latin-1"), moved.body.encode("latin-1"),
         now + moved.left, moved.slots, moved.memory, moved.tenant, moved.key, moved.hint,
         moved.client_retry, moved.priority, once=True, wire_id=moved.wire_id, share=moved.share,
         idempotency_key=moved.idempotency_key,
     )  # fmt: skip
-    for number, (name, ago, timeout, may_have_run, ended) in enumerate(moved.attempts):
+    for number, (name, age, timeout, may_have_run, ended) in enumerate(moved.attempts):
         entry = core.entries[name]
         request.attempts.append(
-            Attempt(request, number, entry, now - ago, timeout, True, may_have_run, ended)
+            Attempt(request, number, entry, now - age, timeout, True, may_have_run, ended)
         )
     try:
         core.take_over(request, waiter)
--- a/eiderpin/core/request_log.py
+++ b/eiderpin/core/request_log.py
@@ -1,6 +1,6 @@
-"""Log events of requests and attempts: the same fields everywhere, so that one id can be followed through.
+"""Log events of requests and attempts, with the same fields everywhere, so that one request can be traced.
 
-`request` is the id that servers and clients know, `attempt` its number from 0, times are in milliseconds.
+`request` is the id that workers and clients see, `attempt` its number from 0; times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 
 class EndReason(Enum):
-    """Why a request ended. Counted as `end.REASON`."""
+    """Why a request ended; counted as `end.REASON`."""
 
     RESULT = "result"
-    LATE_RESULT = "late_result"  # of an attempt that had been counted as ended
-    REFUSED = "refused"  # by the decisions: trying again is harmless
-    FAILED = "failed"  # by the decisions: it may have run
-    OVERDUE = "overdue"  # the decisions gave no answer by its deadline
+    LATE_RESULT = "late_result"  # the result of an attempt that had been counted as ended
+    REFUSED = "refused"  # by the decision module; a retry is harmless
+    FAILED = "failed"  # by the decision module; the request may have run
+    OVERDUE = "overdue"  # the decision module gave no answer by its deadline
     CLIENT_LEFT = "client_left"
     NO_ROOM = "no_room"  # the table of requests is full
-    NOT_DURABLE = "not_durable"  # the disk of durable jobs does not take it
+    NOT_DURABLE = "not_durable"  # it could not be stored as a durable job
 
 
 class AttemptState(Enum):
-    """How far an attempt has come, as logs tell it."""
+    """How far an attempt has come, as log events name it."""
 
-    UNSENT = "unsent"  # its last byte has not been written
+    UNSENT = "unsent"  # it has not been written in full
     SENT = "sent"
-    ACCEPTED = "accepted"  # its server has said that it took the request
+    ACCEPTED = "accepted"  # its worker has confirmed that it has the request
     ENDED = "ended"
 
 
 def state_of(attempt: Attempt) -> AttemptState:
-    """How far this attempt has come."""
+    """Return how far an attempt has come."""
     if attempt.ended:
         return AttemptState.ENDED
     if attempt.accepted:
@@ -46,12 +46,12 @@
 
 
 def request_fields(request: Request) -> dict[str, Any]:
-    """What identifies a request in a log event."""
+    """Return the log fields that identify a request."""
     return {"request": request.wire_id or request.unique, "class": request.cls}
 
 
 def attempt_fields(attempt: Attempt) -> dict[str, Any]:
-    """What identifies an attempt in a log event."""
+    """Return the log fields that identify an attempt."""
     return {
         **request_fields(attempt.request),
         "attempt": attempt.number,
@@ -60,18 +60,18 @@
 
 
 def attempts_summary(request: Request) -> str:
-    """All attempts at a request, as `worker:state` in the order of their numbers."""
+    """Return all attempts of a request as `worker:state`, in the order of their numbers."""
     return ",".join(f"{a.entry.name}:{state_of(a).value}" for a in request.attempts) or "none"
 
 
 def attempt_event(text: str, attempt: Attempt, **fields: Any) -> None:
-    """One step of an attempt, told at debug level."""
+    """Log one step of an attempt at debug level."""
     if logger.isEnabledFor(logging.DEBUG):
         logger.debug(text, extra={**attempt_fields(attempt), **fields})
 
 
 def request_event(text: str, request: Request, level: int = logging.DEBUG, **fields: Any) -> None:
-    """One step of a request, with its attempts."""
+    """Log one step of a request, with its attempts."""
     if logger.isEnabledFor(level):
         extra = {**request_fields(request), "attempts": attempts_summary(request), **fields}
         logger.log(level, text, extra=extra)
--- a/eiderpin/core/requests.py
+++ b/eiderpin/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests, the attempts at them, and the service entries (workers) that attempts go to."""
+"""Requests, their attempts, and the endpoints (workers) that attempts are sent to."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Verdict(Enum):
-    """What a final answer says; by these names it is counted."""
+    """What a final answer says; the values name the counters of answers."""
 
     SERVED = "succeeded"
     TURNED_DOWN = "declined"
@@ -20,37 +20,48 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
+    """The final answer to a request."""
+
     verdict: Verdict
     result: bytes = b""
-    wait: float | None = None  # ms after which a turned-down client may come back
+    wait: float | None = None  # ms that a rejected client should wait before a retry
 
 
 FAILED = Answer(Verdict.FAILED)
 
 
-class EdgeSide(Protocol):
-    """Whoever waits for a request's answer: one connection's request at some front."""
+class ResponseSink(Protocol):
+    """A waiting client: one request on one connection of some front."""
 
-    def answer(self, request: Request, answer: Answer) -> None: ...
+    def answer(self, request: Request, answer: Answer) -> None:
+        """Give the client its final answer."""
+        ...
 
-    def progress(self, request: Request, share: float) -> None: ...
+    def progress(self, request: Request, share: float) -> None:
+        """Tell the client that `share` (0 to 1) of the request is done, if its protocol can express that."""
+        ...
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None: ...
+    def data_part(self, request: Request, data: bytes, warning: bool) -> None:
+        """Pass the client partial data, or a warning, if its protocol can express that."""
+        ...
 
     def has_left(self) -> bool:
-        """Whether it has gone, though that may not have been dealt with yet."""
+        """Return whether the client has disconnected, even if that has not been processed yet."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request from when it is taken in to its final answer."""
+    """A request, from its acceptance until its final answer is given and its attempts have ended.
+
+    Times are in ms on the dispatcher's clock.
+    """
 
     cls: str
-    unique: str  # the client's own id of the job; resubmissions bear it again
-    target: bytes  # where it was addressed, passed on unchanged
+    unique: str  # the client's id of the job, the same in resubmissions; empty if it gave none
+    target: bytes  # the request target, passed on unchanged
     body: bytes
-    deadline: float  # when its answer must be out
+    deadline: float  # when the answer must be out
     slots: float = 1.0
     memory: float = 0.0
     tenant: str | None = None
@@ -58,90 +69,109 @@
     hint: float | None = None
     client_retry: bool = False
     priority: int = 0
-    background: bool = False  # goes on though nobody waits
-    abandoned: bool = False  # nobody waits any more; what has begun runs on, and nothing else begins
-    once: bool = False  # its front gives each request an id of its own: another `once` with it is refused
-    id: int = -1
-    job: int = 0  # its number among the durable ones; 0: it is not durable
-    backstop: Deadline | None = None
-    wire_id: str = ""  # what workers know it by
-    waiters: list[EdgeSide] = field(default_factory=list)
-    attempts: list[Attempt] = field(default_factory=list)  # all that were made, by number
+    background: bool = False  # continues even if nobody waits
+    abandoned: bool = False  # all clients have left; running attempts continue, but no further one starts
+    once: bool = False  # the id belongs to this request only: a second request with it is refused
+    id: int = -1  # in the table of requests; -1: not in it
+    job: int = 0  # number of the durable job in the ledger; 0: not durable
+    backstop: Deadline | None = None  # answers the request if nothing else has by its deadline
+    wire_id: str = ""  # the id that workers see
+    waiters: list[ResponseSink] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)  # all attempts, by number
     ended: bool = False
-    cut_short: bool = False  # its deadline is earlier than its client's, since the process ends before
-    share: float = 0.0  # done of it, as last told
-    idempotency_key: str | None = None  # as the client spelt it; workers see it so on every attempt
+    cut_short: bool = False  # the shutdown made the deadline earlier than the client's
+    share: float = 0.0  # share that is done (0 to 1), as last reported
+    idempotency_key: str | None = None  # passed to workers unchanged, with every attempt
 
     @property
     def size(self) -> int:
-        """Bytes that a client sent for it, and that are held while it lasts."""
+        """Bytes from the client that are held while the request lasts."""
         return len(self.body) + len(self.idempotency_key or "")
 
     @property
-    def named(self) -> bool:
-        """Whether its client can ask for it again by its name, and then joins it or gets its kept answer."""
+    def is_resubmittable(self) -> bool:
+        """Whether a resubmission by the same id joins this job, or gets its retained answer."""
         return bool(self.unique) and not self.once
 
     @property
-    def wanted(self) -> bool:
-        """Whether an attempt may still begin: somebody waits for the answer, or it was to go on anyway."""
+    def may_start_attempt(self) -> bool:
+        """Whether an attempt may still begin: somebody waits, or the job continues without that."""
         return not self.ended and (bool(self.waiters) or self.background or bool(self.job))
 
     def may_have_run(self) -> bool:
-        return any(s.may_have_run for s in self.attempts)
+        """Return whether some attempt may have run."""
+        return any(attempt.may_have_run for attempt in self.attempts)
 
 
 class WorkerLink(Protocol):
-    """A way to reach workers. What becomes of an attempt goes back through `Dispatcher.ended`."""
+    """A transport to workers. It reports how each attempt ended through `Dispatcher.ended`."""
 
-    def send(self, attempt: Attempt) -> None: ...
+    def send(self, attempt: Attempt) -> None:
+        """Send an attempt to its worker."""
+        ...
 
-    def cancel(self, attempt: Attempt) -> None: ...
+    def cancel(self, attempt: Attempt) -> None:
+        """Stop an attempt as far as the protocol allows."""
+        ...
 
-    def probe(self, entry: ServiceEntry) -> None: ...
+    def probe(self, entry: ServiceEntry) -> None:
+        """Probe a worker; the result is reported through `Dispatcher.probed`."""
+        ...
 
-    def entry_changed(self, entry: ServiceEntry) -> None: ...
+    def entry_changed(self, entry: ServiceEntry) -> None:
+        """React to a change of a worker's state or address."""
+        ...
 
     def may_move(self, attempt: Attempt) -> bool:
-        """Whether it goes on, and its end can be told, without the connection that it was sent on."""
+        """Return whether an attempt can continue, and its end be reported, without its present connection."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class ServiceEntry:
+    """A worker as this dispatcher reaches it."""
+
     listed: WorkerEntry
-    address: Any  # means something to its link only
+    address: Any  # only the link interprets it
     link: WorkerLink
-    left_at: float | None = None  # when we were told that it drains or is gone
-    told: WorkerEntry | None = None  # as its source lists it, before the operators' orders
+    withdrawn_at: float | None = None  # since when it is known to drain or to be gone
+    source_entry: WorkerEntry | None = None  # as its source lists it, before the operators' overrides
 
     @property
     def name(self) -> str:
+        """The worker's name."""
         return self.listed.name
 
     @property
     def in_service(self) -> bool:
+        """Whether the worker takes new work."""
         return self.listed.state is WorkerState.IN_SERVICE
 
     @property
-    def listed_now(self) -> bool:
+    def is_listed(self) -> bool:
+        """Whether the worker is still listed, in service or draining."""
         return self.listed.state is not WorkerState.GONE
 
-    def may_be_sent(self, now: float, grace: float) -> bool:
-        """Whether a first byte may go out now: a drain's grace counts at the write, not at the decision."""
-        return self.left_at is None or now <= self.left_at + grace
+    def accepts_sends(self, now: float, grace: float) -> bool:
+        """Return whether an attempt's first byte may be written to the worker now.
+
+        A draining worker accepts new work for `grace` ms, measured to the write and not to the decision.
+        """
+        return self.withdrawn_at is None or now <= self.withdrawn_at + grace
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One sending of a request to a worker."""
+
     request: Request
-    number: int
+    number: int  # 0 for the first attempt of a request
     entry: ServiceEntry
-    made_at: float
+    made_at: float  # ms on the dispatcher's clock
     timeout: float  # ms after which the dispatcher stops waiting for it
-    accepted: bool = False  # the worker has said that it took the job
-    may_have_run: bool = False  # written to its worker, and not known to be unrun
+    accepted: bool = False  # the worker has confirmed that it has the job
+    may_have_run: bool = False  # it was written in full, and nothing proves that it did not run
     ended: bool = False
-    leased: bool = False  # a durable job's, with its lease written
-    expiry: Deadline | None = None
-    handle: Any = None  # the link's own
+    leased: bool = False  # of a durable job, with its lease on disk
+    expiry: Deadline | None = None  # its time-out
+    handle: Any = None  # used by the link only
--- a/eiderpin/core/shutdown.py
+++ b/eiderpin/core/shutdown.py
@@ -1,15 +1,20 @@
-"""When each step of a planned end is due: pure, in ms of the dispatcher's clock."""
+"""When each step of a shutdown is due. Pure functions of the dispatcher's clock, in ms."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-KILL_AFTER_LONGEST = 700.0  # ms past the longest deadline, after SIGTERM, at which SIGKILL may come ...
-LONGEST_COUNTED = 3000.0  # ... and of that deadline so much counts at most
-HELD_UP = 150.0  # ms for which the process may be held up between reading its clock and acting
-ANSWER_RESERVE = 2 * HELD_UP + 50.0  # before SIGKILL: SIGTERM noticed late, answers written late, their way
-EXIT_RESERVE = HELD_UP  # before SIGKILL; between answers and exit clients see that we close
+# SIGKILL may follow SIGTERM after the longest deadline of the deployment and this delay ...
+KILL_DELAY_MS = 700.0
+MAX_COUNTED_DEADLINE_MS = 3000.0  # ... where no more than this counts of the deadline
+
+MAX_STALL_MS = 150.0  # for which the process may stall between reading its clock and acting on it
+# Answers are complete this long before SIGKILL: SIGTERM may be noticed late, answers may be written late, and
+# they need time to reach the clients.
+ANSWER_RESERVE_MS = 2 * MAX_STALL_MS + 50.0
+# The exit comes this long before SIGKILL. Between the answers and the exit, clients can see the close.
+EXIT_RESERVE_MS = MAX_STALL_MS
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,13 +22,15 @@
     """The steps that follow SIGTERM, each a time on the dispatcher's clock."""
 
     begun_at: float
-    answers_by: float  # every request that was taken has its final answer
+    answers_by: float  # by then every accepted request has its final answer
     exits_by: float
-    killed_at: float  # the earliest SIGKILL
+    earliest_kill_at: float  # when SIGKILL may come at the earliest
 
     @classmethod
-    def beginning(cls, now: float, class_deadlines: Iterable[float]) -> ShutdownSchedule:
-        """The schedule of an end that begins now, in a deployment whose classes have these deadlines (ms)."""
-        longest = min(max(class_deadlines), LONGEST_COUNTED)
-        killed_at = now + longest + KILL_AFTER_LONGEST
-        return cls(now, killed_at - ANSWER_RESERVE, killed_at - EXIT_RESERVE, killed_at)
+    def starting_at(cls, now: float, class_deadlines: Iterable[float]) -> ShutdownSchedule:
+        """Return the schedule of a shutdown that begins at `now`; the classes' deadlines are in ms."""
+        longest = min(max(class_deadlines), MAX_COUNTED_DEADLINE_MS)
+        earliest_kill_at = now + longest + KILL_DELAY_MS
+        return cls(
+            now, earliest_kill_at - ANSWER_RESERVE_MS, earliest_kill_at - EXIT_RESERVE_MS, earliest_kill_at
+        )
--- a/eiderpin/core/slot_table.py
+++ b/eiderpin/core/slot_table.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots, which requests and connections live in."""
+"""A table of numbered slots that holds requests and connections."""
 
 from __future__ import annotations
 
@@ -15,8 +15,11 @@
 
 
 class SlotTable(Generic[T]):
-    """Numbered slots. An id is slot and generation, below 2^32: an old id never finds a slot's next holder
-    until the generation has come round."""
+    """Items by id.
+
+    An id combines the slot with a generation and is below 2^32. After an item is removed, its id does not
+    find the next item in that slot until the generation has wrapped around.
+    """
 
     def __init__(self, limit: int = 1 << SLOT_BITS) -> None:
         self._items: list[T | None] = []
@@ -29,6 +32,7 @@
         return self.held
 
     def add(self, item: T) -> int:
+        """Store an item and return its id. Raises `TableFull`."""
         if self._free:
             slot = self._free.pop()
         elif len(self._items) < self._limit:
@@ -41,16 +45,18 @@
         self.held += 1
         return self._generations[slot] << SLOT_BITS | slot
 
-    def get(self, number: int) -> T | None:
-        slot, generation = number & ((1 << SLOT_BITS) - 1), number >> SLOT_BITS
+    def get(self, item_id: int) -> T | None:
+        """Return the item with this id, or None if it has been removed."""
+        slot, generation = item_id & ((1 << SLOT_BITS) - 1), item_id >> SLOT_BITS
         if slot >= len(self._items) or self._generations[slot] != generation:
             return None
         return self._items[slot]
 
-    def remove(self, number: int) -> T | None:
-        item = self.get(number)
+    def remove(self, item_id: int) -> T | None:
+        """Remove and return the item with this id; None if it has been removed before."""
+        item = self.get(item_id)
         if item is not None:
-            slot = number & ((1 << SLOT_BITS) - 1)
+            slot = item_id & ((1 << SLOT_BITS) - 1)
             self._items[slot] = None
             self._generations[slot] = (self._generations[slot] + 1) % GENERATIONS
             self._free.append(slot)
@@ -58,4 +64,5 @@
         return item
 
     def all(self) -> list[T]:
+        """Return all items, in the order of their slots."""
         return [item for item in self._items if item is not None]
--- a/eiderpin/shutdown.py
+++ b/eiderpin/shutdown.py
@@ -1,8 +1,9 @@
-"""The planned end of a dispatcher, from SIGTERM to the exit.
+"""The shutdown of a dispatcher, from SIGTERM to the exit.
 
-What comes is served as before, but nothing may be left unanswered when SIGKILL comes, which may be soon: each
-request's deadline is cut to the schedule's `answers_by`, so that the decisions end each in time by their own
-rules. What a front has read and not answered by then is answered there, and after that nothing is taken.
+New requests are served as before, but none may be unanswered when SIGKILL comes, which may be soon. So each
+request's deadline is bounded by the schedule's `answers_by`, and the decision module ends it in time by its
+usual rules. What a front has read and not answered by then is answered there, and after that nothing is
+accepted.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
     from eiderpin.net.gearman_front import GearmanFront
     from eiderpin.net.handover import Handover
 
-LINGER = 600.0  # ms after SIGTERM in which new connections may still come
-HALF_SENT_FOR = 3000.0  # ms after SIGTERM for which requests that are half sent are waited for
-CLOSING_FOR = 1000.0  # ms, at the very end, in which those who are still connected may see that we close
-SUCCESSOR_WITHIN = 3000.0  # ms after SIGTERM for which a successor that cannot serve yet is waited for
-HAND_OVER_AFTER = 1000.0  # ms after SIGTERM in which jobs may end here; then a successor has them
+LINGER = 600.0  # after SIGTERM new connections may still arrive for this long
+PARTIAL_REQUEST_WAIT_MS = 3000.0  # after SIGTERM partially received requests are waited for this long
+CLOSING_FOR = 1000.0  # at the very end, remaining clients are given this long to see that the process closes
+SUCCESSOR_WAIT_MS = 3000.0  # after SIGTERM a successor that is not yet able to serve is waited for this long
+HANDOVER_DELAY_MS = 1000.0  # after SIGTERM jobs may end here for this long, before a successor takes them
 
 
 class Shutdown:
-    """How far the planned end has come, and whether the process may exit."""
+    """Tracks how far the shutdown has come and whether the process may exit."""
 
     def __init__(
         self,
@@ -41,109 +42,128 @@
     ) -> None:
         self.core, self.edge, self.gearman, self.workers = core, edge, gearman, workers
         self.ledger = ledger
-        self.handover: Handover | None = None  # set where an old and a new process run side by side
-        self.schedule: ShutdownSchedule | None = None  # since SIGTERM
-        self.handed_over_at: float | None = None  # when a successor took the clients
-        self._closing_since: float | None = None  # since all was answered, at the end
+        self.handover: Handover | None = None  # set where an old and a new process can run side by side
+        self.schedule: ShutdownSchedule | None = None  # set from SIGTERM on
+        self.handed_over_at: float | None = None  # when a successor took the client connections
+        self._closing_since: float | None = None  # when all was answered, at the end
 
     @property
     def begun(self) -> bool:
-        """Whether the process has been told to end."""
+        """Whether the shutdown has begun."""
         return self.schedule is not None
 
     def begin(self) -> bool:
-        """Begin the planned end; False where it has begun before."""
+        """Begin the shutdown; return False if it has begun before."""
         if self.schedule is not None:
             return False
         now = self.core.clock.now()
-        deadlines = [c.deadline for c in self.core.settings.classes]
-        self.schedule = ShutdownSchedule.beginning(now, deadlines)
+        deadlines = [request_class.deadline for request_class in self.core.settings.classes]
+        self.schedule = ShutdownSchedule.starting_at(now, deadlines)
         within = round(self.schedule.answers_by - now)
-        logs.event("told to end", logging.INFO, answers_within_ms=within, **self._what_is_open())
-        self.core.deadlines.set(self.schedule.answers_by, self._answer_the_rest)
+        logs.event("told to end", logging.INFO, answers_within_ms=within, **self._open_counts())
+        self.core.deadlines.set(self.schedule.answers_by, self._answer_remaining)
         return True
 
     def cut_deadlines(self) -> None:
-        """Bound all requests by the schedule, unless a successor is about to take them."""
+        """Bound the deadlines of all requests by the schedule, unless a successor is about to take them."""
         if self.schedule is not None and self.handed_over_at is None:
-            self.core.answer_by(self.schedule.answers_by)
+            self.core.limit_deadlines(self.schedule.answers_by)
 
     def may_hand_over(self) -> bool:
-        """Whether a successor is to have our jobs: we may be killed before they end."""
+        """Return whether running jobs are to be transferred to a successor.
+
+        This process may be killed before they end.
+        """
         schedule, now = self.schedule, self.core.clock.now()
-        return schedule is not None and now > schedule.begun_at + HAND_OVER_AFTER
+        return schedule is not None and now > schedule.begun_at + HANDOVER_DELAY_MS
 
-    def _what_is_open(self) -> dict[str, int]:
-        """What is still owed or connected, for the log."""
-        attempts = [a for request in self.core.requests.all() for a in request.attempts]
+    def _open_counts(self) -> dict[str, int]:
+        """Return the numbers of open requests, attempts and connections, for the log."""
+        attempts = [attempt for request in self.core.requests.all() for attempt in request.attempts]
         return {
             "outstanding": self.core.outstanding,
-            "attempts": sum(not a.ended for a in attempts),
+            "attempts": sum(not attempt.ended for attempt in attempts),
             "clients": len(self.edge.connections),
             "server_connections": len(self.workers.open),
         }
 
-    def _answer_the_rest(self) -> None:
-        """The last moment for answers. The decisions have given theirs; durable jobs go on without those who
-        wait for them, and what waits for a disk or for the process beside us waits no longer."""
+    def _answer_remaining(self) -> None:
+        """Answer all clients that are still waiting when the last answers are due.
+
+        The decision module has answered what it decides by then. Durable jobs continue without their waiting
+        clients, and requests that wait for a disk or for the peer process wait no longer.
+        """
         assert self.schedule is not None
-        self.core.answer_by(self.schedule.answers_by)
+        self.core.limit_deadlines(self.schedule.answers_by)
         self.core.decide()
         answered = self.edge.answer_all()
         if self.gearman is not None:
             answered += self.gearman.answer_all()
-        logs.event("all is answered or given up", logging.INFO, by_fronts=answered, **self._what_is_open())
+        logs.event("all is answered or given up", logging.INFO, by_fronts=answered, **self._open_counts())
 
     # -- the exit
 
     def is_over(self) -> bool:
-        """Whether the process may exit now. To be asked once a turn: clients are sent off on the way."""
-        if not self._may_end() or (self.ledger is not None and not self.ledger.quiet()):
+        """Return whether the process may exit now. To be called in every turn of the event loop.
+
+        Once nothing is open, this closes the remaining client connections.
+        """
+        if not self._may_exit_once_answered() or (self.ledger is not None and not self.ledger.quiet()):
             return False
-        if self._is_anything_owed():
-            self._stop_closing()
+        if self._has_open_work():
+            self._resume_listening()
             return False
         now = self.core.clock.now()
         if self._closing_since is None:
             self._closing_since = now
-        return self.edge.part(self._past_answers()) or now > self._closes_until(self._closing_since)
+        return self.edge.part(self._is_past_answer_time()) or now > self._closing_notice_ends_at(
+            self._closing_since
+        )
 
-    def _may_end(self) -> bool:
-        """Whether we may exit once all is answered."""
+    def _may_exit_once_answered(self) -> bool:
+        """Return whether the process may exit once all requests are answered."""
         now, newer = self.core.clock.now(), self.handover.newer if self.handover is not None else None
         if newer is not None and newer.given:
-            return False  # jobs on their way to it, which may have to come back
+            return False  # requests in transfer to the successor, which it may still refuse
         if self.handed_over_at is not None and not len(self.edge.connections):
             return now > self.handed_over_at + LINGER
         schedule = self.schedule
         if schedule is None or now < min(schedule.begun_at + LINGER, schedule.answers_by):
             return False
-        wait = min(schedule.begun_at + SUCCESSOR_WITHIN, schedule.exits_by)
+        wait = min(schedule.begun_at + SUCCESSOR_WAIT_MS, schedule.exits_by)
         return newer is None or newer.serving or now > wait
 
-    def _is_anything_owed(self) -> bool:
+    def _has_open_work(self) -> bool:
+        """Return whether requests or bytes are outstanding for which the process has to stay."""
         if any(not request.ended for request in self.core.requests.all()):
             return True
-        # A job that is half sent is worth the wait, but those who begin one and stay must not keep us.
+        # A partially received job is waited for, but clients that never complete one must not delay the exit.
         schedule, now = self.schedule, self.core.clock.now()
-        halves = schedule is not None and now < min(schedule.begun_at + HALF_SENT_FOR, schedule.answers_by)
-        if not self.edge.quiet(halves):
+        waits_for_partial = schedule is not None and now < min(
+            schedule.begun_at + PARTIAL_REQUEST_WAIT_MS, schedule.answers_by
+        )
+        if not self.edge.quiet(waits_for_partial):
             return True
-        return self.gearman is not None and any(c.conn.unsent for c in self.gearman.connections.all())
+        return self.gearman is not None and any(
+            client.conn.unsent for client in self.gearman.connections.all()
+        )
 
-    def _past_answers(self) -> bool:
+    def _is_past_answer_time(self) -> bool:
+        """Return whether the time for the last answers is over."""
         return self.schedule is not None and self.core.clock.now() >= self.schedule.answers_by
 
-    def _stop_closing(self) -> None:
-        """One more has come: it is served, and workers must be able to call back. Not at the very end: what
-        comes then has been refused as it came."""
-        if self._closing_since is None or self.handed_over_at is not None or self._past_answers():
+    def _resume_listening(self) -> None:
+        """Accept connections again because another request has arrived: its worker must be able to call back.
+
+        Not at the very end: a request that arrives then was refused on arrival.
+        """
+        if self._closing_since is None or self.handed_over_at is not None or self._is_past_answer_time():
             return
         self._closing_since = None
         self.edge.listener.start()
 
-    def _closes_until(self, since: float) -> float:
-        """Until when those who are still connected may see that we close."""
+    def _closing_notice_ends_at(self, since: float) -> float:
+        """Return until when remaining clients are given time to see that the process closes."""
         until = since + CLOSING_FOR
         if self.schedule is None or since >= self.schedule.exits_by:
             return until
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -103,7 +103,7 @@
     def test_the_end_of_the_process_cuts_what_is_taken_over_but_not_durable_jobs(self) -> None:
         """Also what comes back, or is recovered, once the end has begun."""
         ends_at = self.clock.at + 500
-        self.core.answer_by(ends_at)
+        self.core.limit_deadlines(ends_at)
         for number, (job, deadline) in enumerate(((0, ends_at), (7, self.clock.at + 5000))):
             request = Request(
                 "look", f"t{number}", b"/", b"", self.clock.at + 5000, job=job, wire_id=f"t{number}"
@@ -128,13 +128,13 @@
         self.core.ended(self.link.sent[0], api.Outcome.DONE, b"ranked")
         self.assertEqual(self.submit("post", "a")[1].got, [Answer(Verdict.SERVED, b"ranked")])
         self.assertEqual(self.submit("look", "a")[1].got, [])  # another class, another job
-        self.pass_time(core.KEPT_FOR + 1)
+        self.pass_time(core.RETENTION_MS + 1)
         self.assertEqual(self.submit("post", "a")[1].got, [])
-        for i in range(core.KEPT_COUNT + 10):
+        for i in range(core.MAX_RETAINED_ANSWERS + 10):
             request = Request("look", f"n{i}", b"/", b"", 0.0)
-            self.core._keep(request, Answer(Verdict.SERVED, b"xy"))
-        self.assertEqual(len(self.core._kept), core.KEPT_COUNT)
-        self.assertEqual(self.core._kept_bytes, 2 * core.KEPT_COUNT)
+            self.core._retain(request, Answer(Verdict.SERVED, b"xy"))
+        self.assertEqual(len(self.core._retained), core.MAX_RETAINED_ANSWERS)
+        self.assertEqual(self.core._retained_bytes, 2 * core.MAX_RETAINED_ANSWERS)
 
     def test_a_turn_down_is_kept_for_nobody_and_a_job_that_may_have_run_never_runs_again(self) -> None:
         for outcome, again in ((api.Outcome.REJECTED, 1), (api.Outcome.RESET, 0)):
@@ -185,7 +185,9 @@
         self.pass_time(899)
         self.assertEqual({len(c.got) for c in clients}, {1})
         self.pass_time(30_000)
-        self.assertEqual((len(self.core.requests), len(self.core._by_wire), len(self.deadlines)), (0, 0, 0))
+        self.assertEqual(
+            (len(self.core.requests), len(self.core._by_wire_id), len(self.deadlines)), (0, 0, 0)
+        )
 
     def test_one_sources_complete_list_leaves_the_others_workers_alone(self) -> None:
         other = Link()
