--- a/eiderpin/interface.py
+++ b/eiderpin/interface.py
@@ -1,4 +1,4 @@
-"""The types of the decision module: settings, events in, actions out.
+"""The types of the decision module: its settings, the events it receives and the actions it returns.
 
 This file and `decide.py` are all that an embedding dispatcher needs. Every time is in milliseconds of one
 clock that never runs backwards; every amount of work is in milliseconds of one standard core.
@@ -13,19 +13,19 @@
 
 
 class SettingsError(ValueError):
-    """A setting that cannot be; the message names its key."""
+    """A setting is not valid; the message names its key."""
 
 
 class Repeat(Enum):
-    """What a class allows to be done again."""
+    """Whether a request of a class may run more than once."""
 
     FREE = "free"  # may run any number of times
-    GUARDED = "guarded"  # a group of workers drops repeats for a while
+    GUARDED = "guarded"  # a group of workers drops repeats for some time
     SINGLE_SHOT = "single_shot"  # must never run twice
 
 
 class Scope(Enum):
-    """The workers that drop each other's repeats of a guarded request."""
+    """Which group of workers recognizes and drops repeats of a guarded request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,6 +33,8 @@
 
 
 class WorkerState(Enum):
+    """Whether a worker takes new work."""
+
     IN_SERVICE = "in_service"
     DRAINING = "draining"
     GONE = "gone"
@@ -42,8 +44,8 @@
     """What a membership event holds."""
 
     CHANGES = "changes"  # only the entries that changed
-    COMPLETE = "complete"  # every worker; one that is absent has been removed
-    STORED = "stored"  # a complete list from the last run, perhaps out of date
+    COMPLETE = "complete"  # all workers; one that is absent has been removed
+    STORED = "stored"  # a complete list stored in an earlier run, perhaps out of date
     FAILED = "failed"  # a call to discovery failed, or the watch was dropped; no entries
 
 
@@ -52,7 +54,7 @@
 
     DONE = "done"
     ERROR = "error"
-    REJECTED = "rejected"  # turned away unseen: no room, or draining
+    REJECTED = "rejected"  # refused without being started: no room, or draining
     TIMED_OUT = "timed_out"
     NOT_CONNECTED = "not_connected"
     RESET = "reset"
@@ -61,7 +63,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the worker did not begin the request."""
+        """Whether the outcome proves that the worker did not begin the request."""
         return self in _NEVER_RAN
 
 
@@ -73,22 +75,26 @@
 
 @dataclass(slots=True)
 class RequestClass:
+    """The settings of one class of requests."""
+
     name: str
-    aim: float = 1000.0  # full worth if answered within this ...
+    aim: float = 1000.0  # full worth if answered within this time ...
     aim_stretch: float = 0.0  # ... plus this many times the request's own work
     deadline: float = 10000.0
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth left after the aim
+    late_worth: float = 0.0  # share of the worth that remains after the aim
     repeat: Repeat = Repeat.SINGLE_SHOT
     scope: Scope = Scope.CELL
-    memory_span: float = 0.0  # how long the scope remembers an attempt, from when it was sent
+    memory_span: float = 0.0  # how long the scope remembers an attempt after it was sent
     streaming: bool = False
-    shape: str | None = None  # the one kind of machine that runs it
+    shape: str | None = None  # the only kind of machine that runs it; None: any
     priority: int = 0
 
 
 @dataclass(slots=True)
 class Tenant:
+    """A tenant and its share of the capacity."""
+
     name: str
     allowance_per_s: float = 0.0
     share: float = 0.0
@@ -96,7 +102,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """Everything a dispatcher is told at its start; the defaults are those of a cautious unknown site."""
+    """All settings of a dispatcher; the defaults are cautious, for a site of which nothing is known."""
 
     classes: list[RequestClass]
     instances: int = 1
@@ -105,9 +111,9 @@
     tenants: list[Tenant] = field(default_factory=list)
     over_share_worth: float = 1.0
     worth_by_work: bool = False
-    tick: float = 1.0  # shortest gap between batches
+    tick: float = 1.0  # shortest time between batches of events
     # discovery
-    must_ask: bool = False  # the list comes only after Watch or FetchList
+    must_ask: bool = False  # the list of workers arrives only after `Watch` or `FetchList`
     ask_within: float = 0.0
     # limits
     max_attempts: int = 3
@@ -118,17 +124,19 @@
     may_advise_wait: bool = False
     max_wait_advice: float = 0.0
     connect_timeout: float = 250.0
-    conn_idle: float = 5000.0  # an idle connection is closed by the worker after this
+    conn_idle: float = 5000.0  # workers close a connection that has been idle for this time
     most_held: int = 20000  # requests that an instance may hold open
-    # what workers tell
+    # what workers report
     reports_in_answers: bool = False
     reports_in_probes: bool = False
-    report_names: dict[str, str] = field(default_factory=dict)  # what a `Report`'s fields are called here
+    report_names: dict[str, str] = field(
+        default_factory=dict
+    )  # this site's names for the fields of a `Report`
     tells_start: bool = False
     progress_every: float = 0.0
-    starts_in_order: bool = False  # a worker starts its jobs in the order in which they came
+    starts_in_order: bool = False  # a worker starts its jobs in the order in which they arrived
     live_ratings: bool = False  # the rating is the size divided by 1 + requests held per core
-    ratings: bool = True  # whether the rating tells sizes at all
+    ratings: bool = True  # whether ratings say anything about sizes
     # rules
     answer_grace: float = 0.0
     drain_grace: float = 0.0
@@ -136,24 +144,24 @@
     warm_up: float = 30000.0
     cold_multiple: float = 1.0
     cold_window: float = 1000.0
-    # prices, as points of the result
+    # prices, in points of the total result
     price_cross_zone: float = 0.0
     price_probe: float = 0.0
     price_waste: float = 0.0
 
     def check(self) -> None:
-        """Refuse what cannot be, naming the key."""
+        """Raise `SettingsError`, naming the key, if a setting is not valid."""
         if not self.classes:
             raise SettingsError("classes: at least one request class is needed")
         seen: set[str] = set()
-        for c in self.classes:
-            if c.name in seen:
-                raise SettingsError(f"classes[].name: {c.name!r} is given twice")
-            seen.add(c.name)
+        for request_class in self.classes:
+            if request_class.name in seen:
+                raise SettingsError(f"classes[].name: {request_class.name!r} is given twice")
+            seen.add(request_class.name)
             for key in ("aim", "aim_stretch", "deadline", "worth", "late_worth", "memory_span"):
-                _not_negative(f"classes[{c.name}].{key}", getattr(c, key))
-            if c.deadline <= 0:
-                raise SettingsError(f"classes[{c.name}].deadline: must be above 0")
+                _not_negative(f"classes[{request_class.name}].{key}", getattr(request_class, key))
+            if request_class.deadline <= 0:
+                raise SettingsError(f"classes[{request_class.name}].deadline: must be above 0")
         if self.instances < 1:
             raise SettingsError("instances: must be at least 1")
         if not 0 <= self.instance < self.instances:
@@ -170,6 +178,7 @@
 
 
 def _not_negative(key: str, value: float) -> None:
+    """Raise `SettingsError` unless the value is a finite number of at least 0."""
     if not 0 <= value < float("inf"):
         raise SettingsError(f"{key}: must be a number that is not negative, not {value!r}")
 
@@ -179,7 +188,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a worker says of its own load; a value it does not give is None."""
+    """A worker's report of its own load; a value that it does not give is None."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -189,29 +198,33 @@
 
 @dataclass(slots=True)
 class WorkerEntry:
+    """A worker as its source lists it."""
+
     name: str
     zone: str
     shape: str
     cell: int
     state: WorkerState
     rating: float = 1.0
-    born: float | None = None  # when it last started, where that is known
-    classes: frozenset[str] | None = None  # the only classes that it runs; None: all
-    slots: float | None = None  # slots that it is known to have
+    born: float | None = None  # when it last started, if known
+    classes: frozenset[str] | None = None  # the classes that it runs; None: all
+    slots: float | None = None  # its number of slots, if known
 
 
 @dataclass(slots=True)
 class Membership:
-    """What a source of workers tells."""
+    """A list of workers, or a failure to get one, from one source of workers."""
 
     kind: ListKind
     entries: list[WorkerEntry] = field(default_factory=list)
-    by_discovery: bool = True  # else by a front, a file or an operator, which answers no call to discovery
-    is_being_asked: bool = False  # of a stored list: discovery is asked for the present one at once
+    by_discovery: bool = True  # False: by a front, a file or an operator, so no call to discovery is answered
+    is_being_asked: bool = False  # for a stored list: the current one is being requested from discovery
 
 
 @dataclass(slots=True)
 class Request:
+    """A new request."""
+
     id: int
     cls: str
     expires_in: float
@@ -219,22 +232,26 @@
     memory: float = 0.0
     tenant: str | None = None
     key: str | None = None
-    hint: float | None = None  # work expected
+    hint: float | None = None  # expected work
     client_retry: bool = False
-    priority: int = 0  # of held jobs, those with a higher one leave first
+    priority: int = 0  # among jobs that wait, those of higher priority are sent first
 
 
 @dataclass(slots=True)
 class Progress:
+    """A worker reports that an attempt has started, or how much of it is done."""
+
     request: int
     attempt: int
     worker: str
-    started: bool  # True: it has just begun to run; False: `share` of it is done
+    started: bool  # True: it has just started; False: `share` of it (0 to 1) is done
     share: float = 0.0
 
 
 @dataclass(slots=True)
 class StreamStarted:
+    """The first data of a streaming answer has arrived."""
+
     request: int
     attempt: int
     worker: str
@@ -242,26 +259,28 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt has ended."""
+
     request: int
     attempt: int
     worker: str
     outcome: Outcome
     elapsed: float
-    final: bool  # the request is over
+    final: bool  # the request has ended too
     report: Report | None = None
-    stale: bool = False  # broke on a kept connection that had gone bad unused: the worker is not to blame
+    stale: bool = False  # failed on an idle connection that had gone bad: does not count against the worker
 
 
 @dataclass(slots=True)
 class RequestGone:
-    """The client left; no answer is owed any more."""
+    """The client has left, so no answer is due any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class DeadlineMoved:
-    """A request's answer is due earlier than was told: the dispatcher is about to end."""
+    """A request's answer is due earlier than announced, because the dispatcher is shutting down."""
 
     request: int
     expires_in: float
@@ -269,6 +288,8 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A probe of a worker has succeeded or failed."""
+
     worker: str
     ok: bool
     elapsed: float
@@ -277,9 +298,12 @@
 
 @dataclass(slots=True)
 class Beside:
-    """What another process holds that stands in for the same instance (an old version and a new one): by
-    worker the slots that it has committed, and the slot time that it has sent there while the worker was cold
-    and still counts. It replaces what was told before. `gone`: it has ended, its jobs may run on."""
+    """What the peer process holds during an upgrade, when two processes act as the same instance.
+
+    By worker: the slots that the peer has committed, and the slot time that it has sent there while the
+    worker was cold and that still counts. Each such event replaces the one before. `gone`: the peer has
+    ended, but its jobs may still run.
+    """
 
     holds: dict[str, tuple[float, float]] = field(default_factory=dict)
     gone: bool = False
@@ -287,19 +311,22 @@
 
 @dataclass(slots=True)
 class Standing:
-    """What the decisions know of a request under way, for those of another process; ms from now, or ago."""
+    """What the decision module knows of a running request, for that of another process.
+
+    Times are in ms from now, or ago.
+    """
 
     aim_in: float
     work: float
     sends: int
-    out: list[tuple[int, float, float]]  # number, sent, and started or -1: not told of
-    at: list[str]  # the workers of these
-    avoid: list[str]
+    out: list[tuple[int, float, float]]  # number, sent, and started or -1 if no start was reported
+    at: list[str]  # the workers of the attempts in `out`
+    avoid: list[str]  # workers that should not get another attempt
 
 
 @dataclass(slots=True)
 class Adopted:
-    """A request comes from the process beside us, with the attempts that are out for it."""
+    """A request is taken over from the peer process, or recovered, with its running attempts."""
 
     request: Request
     standing: Standing
@@ -307,11 +334,15 @@
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer that was set by `SetTimer` is due."""
+
     handle: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
+    """A message from another dispatcher."""
+
     sender: int
     payload: bytes
 
@@ -327,22 +358,24 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt. A request's attempts are numbered 0, 1, 2 ... in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of their sending."""
 
     request: int
     worker: str
-    timeout: float | None = None  # None: until the client gives up
+    timeout: float | None = None  # None: until the request's deadline
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: turned away; tells the client that a retry is harmless."""
+    """Final answer: the request is rejected, and the client may retry it without harm."""
 
     request: int
     wait: float | None = None
@@ -350,37 +383,45 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; promises nothing about effects."""
+    """Final answer: the request failed; it may have run."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send `TimerFired` with this handle at a time."""
+
     at: float
     handle: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Probe a worker."""
+
     worker: str
 
 
 @dataclass(slots=True)
 class Watch:
+    """Start or end a watch of the list of workers."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask discovery once for the complete list."""
+    """Request the complete list from discovery once."""
 
 
 @dataclass(slots=True)
 class Log:
+    """Log a text."""
+
     text: str
 
 
 Action: TypeAlias = Send | Cancel | Refuse | Fail | SetTimer | Probe | Watch | FetchList | Log
 
-Facts: TypeAlias = Mapping[str, object]  # answers of `eiderpin.explain`
+Facts: TypeAlias = Mapping[str, object]  # what `eiderpin.explain` returns
--- a/eiderpin/simhost.py
+++ b/eiderpin/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts dispatchers on the simulator's wire: one line in, one line out. It decides nothing."""
+"""Hosts decision modules for the simulator: an input line is a batch of events, an output line its reply."""
 
 from __future__ import annotations
 
@@ -12,14 +12,17 @@
 
 
 class Host:
-    """The instances of one process; they share nothing but the numbered lists that the wire shares."""
+    """The dispatcher instances of one process.
+
+    They share nothing except the numbered worker lists, which the simulator sends once for all of them.
+    """
 
     def __init__(self) -> None:
         self._lists: dict[int, wire.Rows] = {}
         self._instances: dict[str, tuple[Dispatcher, wire.Names]] = {}
 
     def line(self, line: bytes) -> bytes:
-        """The reply to one batch."""
+        """Return the reply to one batch. Raises `WireError` and `SettingsError`."""
         now, groups = wire.batch(line)
         replies: list[tuple[str, list[api.Action]]] = []
         for group in groups:
@@ -40,27 +43,28 @@
         return wire.reply(replies)
 
     def _group(self, now: float, name: str, events: list[dict[str, Any]]) -> list[api.Action]:
+        """Pass one instance's events to it and return its actions."""
         actions: list[api.Action] = []
         pending: list[api.Event] = []
         instance = self._instances.get(name)
-        for e in events:
-            kind = e["m"]
+        for data in events:
+            kind = data["m"]
             if kind == "SNAPSHOT_ROWS":
-                self._lists[e["slot"]] = wire.rows(e["lines"])
+                self._lists[data["slot"]] = wire.rows(data["lines"])
             elif kind == "PROVISION":
-                settings, names = wire.settings(e.get("conf"))
-                instance = (Dispatcher(settings, int(e.get("prng") or 0)), names)
+                settings, names = wire.settings(data.get("conf"))
+                instance = (Dispatcher(settings, int(data.get("prng") or 0)), names)
                 self._instances[name] = instance
                 pending = []
             elif kind == "DETACH":
-                # What was pending is void with the instance: it has not been handed over yet.
+                # Events that were not yet passed to the instance are dropped with it.
                 self._instances.pop(name, None)
                 instance, pending = None, []
             elif instance is not None:
                 if kind == "MEMBERS":
-                    pending.append(wire.membership(e, self._lists))
+                    pending.append(wire.membership(data, self._lists))
                 else:
-                    event = wire.event(e, instance[1])
+                    event = wire.event(data, instance[1])
                     if event is not None:
                         pending.append(event)
         if instance is not None and pending:
@@ -69,7 +73,7 @@
 
 
 def _inside(error: BaseException, file: str) -> bool:
-    """Whether an error arose in this file: a fault of the module, not of the input."""
+    """Return whether an error passed through this file: then the module is at fault, not its input."""
     trace = error.__traceback__
     while trace is not None:
         if trace.tb_frame.f_code.co_filename.endswith(file):
@@ -79,6 +83,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer each line of `source` with a line to `sink`, until the source ends."""
     host = Host()
     for line in source:
         if line.strip():
@@ -87,7 +92,8 @@
 
 
 def main() -> int:
-    # The module makes no reference cycles; scanning for them would only cost time in large processes.
+    """Serve standard input and output; return the exit status, 2 for input that is not valid."""
+    # The decision module creates no reference cycles, so scanning for them would only cost time.
     gc.disable()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
