--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -1,19 +1,13 @@
-"""Every request that a stopping dispatcher has taken is answered before the earliest SIGKILL.
+"""Tests that a dispatcher answers every accepted request before the earliest SIGKILL.
 
-What users saw: in a restart with faults injected, clients' connections ended without an answer, 2.97 s
-after they had sent their request, for a class that may be repeated and for one that may not.
+The failure: during a restart with injected faults, clients' connections ended without an answer, 2.97 s after
+they had sent their request. 0.78 s after SIGTERM a request still arrived on an open connection and was sent
+to a worker that accepted it and then hung. SIGKILL came 3.75 s after SIGTERM, while the dispatcher was still
+waiting for the client's deadline of 7.5 or 25 s, since nothing bounded a request by the end of the process.
 
-Order of events: SIGTERM; 0.78 s later a request on a connection that was still open; it is sent on at once
-to a server that takes it and says nothing more; SIGKILL 3.75 s after SIGTERM, while the dispatcher still
-waits for the 7.5 or 25 s of its client's patience.
-
-Cause: nothing tied the end of a request to the end of the process. The planned end waited until all was
-answered, for as long as that might take, and requests were bound by their clients' deadlines alone.
-
-Evidence: played with a real process, in each of six plays (a server that hangs before its 202, after it, or
-after it told of a start; both classes) the client got nothing. Call-backs and results at 0.79 and 3.39 s
-came through, so neither the listener nor the way back was at fault; nothing was cancelled or answered up to
-the kill.
+All six cases failed: a worker that hangs before its 202, after it, or after it reported a start, each for
+both classes. Call-backs and results that arrived after SIGTERM were processed, so the listener and the way
+back to the client were not the cause.
 """
 
 from __future__ import annotations
@@ -31,57 +25,60 @@
 
 from tests.standins import PATIENCE, SETTINGS, Discovery, HttpWorker, Program
 
-KILL_AFTER_LONGEST = 0.7  # s, past the deployment's longest deadline, of which at most ...
-LONGEST_COUNTED = 3.0  # ... this much counts
-HANGS = ("silent", "accepted", "started")
+# SIGKILL follows SIGTERM after the deployment's longest deadline and this delay ...
+KILL_DELAY_SECONDS = 0.7
+MAX_COUNTED_DEADLINE_SECONDS = 3.0  # ... where no more than this counts of the deadline
+HANG_POINTS = ("silent", "accepted", "started")
 
 
 def earliest_kill(settings: dict[str, Any]) -> float:
-    """Seconds from SIGTERM to the earliest SIGKILL in a deployment with these settings."""
-    longest = max(c["hard_limit"] for c in settings["classes"]) / 1000.0
-    return float(min(longest, LONGEST_COUNTED)) + KILL_AFTER_LONGEST
+    """Return the seconds from SIGTERM to the earliest SIGKILL in a deployment with these settings."""
+    longest = max(cls["hard_limit"] for cls in settings["classes"]) / 1000.0
+    return float(min(longest, MAX_COUNTED_DEADLINE_SECONDS)) + KILL_DELAY_SECONDS
 
 
 def with_deadlines(lookup: float, post: float) -> dict[str, Any]:
-    """The stand-ins' settings with these deadlines of the two classes, in ms."""
-    classes = [{**c, "hard_limit": ms} for c, ms in zip(SETTINGS["classes"], (lookup, post), strict=True)]
+    """Return the stand-ins' settings with these deadlines of the two classes, in ms."""
+    classes = [{**cls, "hard_limit": ms} for cls, ms in zip(SETTINGS["classes"], (lookup, post), strict=True)]
     return {**SETTINGS, "classes": classes}
 
 
 class HangingWorker(HttpWorker):
-    """Takes a request as far as the request's id says, and never ends it."""
+    """A worker that hangs at the point which the request's id names."""
 
     def __init__(self, name: str, released: threading.Event) -> None:
         self.released = released
         super().__init__(name, type(self).hang)
 
     def hang(self, rid: str, handler: Any) -> None:
+        """Handle a request up to its hang point."""
         self.ran[rid] += 1
-        how = rid.partition(".")[0]
-        if how == "silent":
+        hang_point = rid.partition(".")[0]
+        if hang_point == "silent":
             self.released.wait(PATIENCE)
             handler.close_connection = True
             return
         handler.say(202)
-        if how == "started":
+        if hang_point == "started":
             with contextlib.suppress(OSError):
                 self.tell(rid, "started")
 
 
 @dataclass
 class Client:
-    """One client with a connection of its own. Times are in seconds after SIGTERM."""
+    """A client with a connection of its own. Times are in seconds after SIGTERM."""
 
     request_id: str
     cls: str
     connects_at: float
     sends_at: float
-    patience: int  # ms
-    status: int = 0  # of the whole answer; 0: none came
+    deadline_ms: int
+    status: int = 0  # of the complete answer; 0: there was none
     connected: bool = False
     thread: threading.Thread = field(init=False)
 
     def start(self, address: str, sigterm_at: float) -> None:
+        """Run the client in a thread; `sigterm_at` is on the monotonic clock."""
         self.thread = threading.Thread(target=self._run, args=(address, sigterm_at), daemon=True)
         self.thread.start()
 
@@ -91,23 +88,23 @@
         try:
             sock = socket.create_connection((host, int(port)), timeout=PATIENCE)
         except OSError:
-            return  # not taken: its client goes elsewhere
+            return  # refused: a client would go to another dispatcher
         self.connected = True
         with sock, contextlib.suppress(OSError):
             _sleep_until(sigterm_at + self.sends_at)
             head = f"POST /{self.cls} HTTP/1.1\r\nReq-Id: {self.request_id}\r\n"
-            head += f"Req-Deadline-Ms: {self.patience}\r\nReq-Cost: 20000\r\nContent-Length: 0\r\n\r\n"
+            head += f"Req-Deadline-Ms: {self.deadline_ms}\r\nReq-Cost: 20000\r\nContent-Length: 0\r\n\r\n"
             sock.sendall(head.encode())
-            got = b""
-            while more := sock.recv(65536):
-                got += more
-                if self._is_whole(got):
-                    self.status = int(got.split()[1])
+            received = b""
+            while data := sock.recv(65536):
+                received += data
+                if self._is_complete(received):
+                    self.status = int(received.split()[1])
                     return
 
     @staticmethod
-    def _is_whole(got: bytes) -> bool:
-        head, end, body = got.partition(b"\r\n\r\n")
+    def _is_complete(received: bytes) -> bool:
+        head, end, body = received.partition(b"\r\n\r\n")
         lengths = [line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length:")]
         return bool(end) and len(body) >= int(lengths[0].partition(b":")[2])
 
@@ -117,9 +114,12 @@
 
 
 @pytest.mark.parametrize(("lookup", "post"), [(7500.0, 25_000.0), (900.0, 600.0)])
-def test_each_request_is_answered_before_the_earliest_kill(lookup: float, post: float) -> None:
+def test_each_accepted_request_is_answered_before_the_earliest_sigkill(lookup: float, post: float) -> None:
+    """Requests that hang at a worker must be answered by the dispatcher before it can be killed, whether they
+    arrive before SIGTERM or after it. A single-shot job that may have run must not be answered as
+    rejected."""
     settings = with_deadlines(lookup, post)
-    kill = earliest_kill(settings)
+    kill_after = earliest_kill(settings)
     released = threading.Event()
     workers = [HangingWorker(f"w{i}", released) for i in range(6)]
     discovery = Discovery()
@@ -128,13 +128,18 @@
     program = Program(discovery, settings=settings)
     for worker in workers:
         worker.back = program.edge
-    # (connects, sends): before SIGTERM, on a connection that is open at SIGTERM, on late new ones.
-    moments = [(-0.25, -0.2), (-0.05, 0.02), (0.35, min(0.78, kill - 0.6)), (kill - 0.5, kill - 0.5)]
+    # (connects, sends): before SIGTERM, on a connection that is open at SIGTERM, and on later connections.
+    moments = [
+        (-0.25, -0.2),
+        (-0.05, 0.02),
+        (0.35, min(0.78, kill_after - 0.6)),
+        (kill_after - 0.5, kill_after - 0.5),
+    ]
     clients = [
-        Client(f"{hang}.{cls}.{number}", cls, connects, sends, int(patience))
+        Client(f"{hang_point}.{cls}.{number}", cls, connects, sends, int(deadline_ms))
         for number, (connects, sends) in enumerate(moments)
-        for hang in HANGS
-        for cls, patience in (("time-lookup", lookup), ("result-post", post))
+        for hang_point in HANG_POINTS
+        for cls, deadline_ms in (("time-lookup", lookup), ("result-post", post))
     ]
     try:
         program.ready()
@@ -143,7 +148,7 @@
             client.start(program.edge, sigterm_at)
         _sleep_until(sigterm_at)
         program.process.send_signal(signal.SIGTERM)
-        _sleep_until(sigterm_at + kill)
+        _sleep_until(sigterm_at + kill_after)
         program.process.kill()
         for client in clients:
             client.thread.join(PATIENCE)
@@ -154,8 +159,8 @@
         for worker in workers:
             worker.stop()
     ran = {rid for worker in workers for rid in worker.ran}
-    unanswered = sorted(c.request_id for c in clients if c.connected and not c.status)
+    unanswered = sorted(client.request_id for client in clients if client.connected and not client.status)
     assert unanswered == [], json.dumps(program.lines)
-    refused = [c for c in clients if c.status in (429, 503)]
-    assert [c.request_id for c in refused if c.cls == "result-post" and c.request_id in ran] == []
+    rejected = [client for client in clients if client.status in (429, 503)]
+    assert [c.request_id for c in rejected if c.cls == "result-post" and c.request_id in ran] == []
     assert any(c.cls == "result-post" and c.request_id in ran and c.sends_at > 0 for c in clients)
--- a/tests/test_shutdown_durable.py
+++ b/tests/test_shutdown_durable.py
@@ -1,6 +1,8 @@
-"""A stopping dispatcher with durable jobs under way: who waits for one is answered before the earliest
-SIGKILL, also while the disk takes nothing, and the job itself goes on after the restart and never runs
-twice."""
+"""Tests of the shutdown of a dispatcher with running durable jobs.
+
+Clients that wait for a durable job are answered before the earliest SIGKILL, even while the disk cannot be
+written. The job itself continues after the restart and never runs twice.
+"""
 
 from __future__ import annotations
 
@@ -16,19 +18,22 @@
 from tests.test_shutdown_deadline import earliest_kill
 
 
-class Waiting:
-    """Clients that each wait for one durable job, and what they were told."""
+class WaitingClients:
+    """Clients that each wait for one durable job, and the status that each got."""
 
-    def __init__(self, it: Installation, program: Program) -> None:
-        self.it, self.program = it, program
+    def __init__(self, deployment: Installation, program: Program) -> None:
+        self.deployment, self.program = deployment, program
         self.statuses: dict[str, int] = {}
         self.threads: list[threading.Thread] = []
 
-    def post(self, name: str, named: bool = True) -> None:
-        """Ask for a job, by a name that may be given again or by an id that is given once."""
+    def post(self, name: str, is_resubmittable: bool = True) -> None:
+        """Submit a job and wait until it runs.
+
+        Its name is an idempotency key if the job is resubmittable, else a request id that is given once.
+        """
 
         def ask() -> None:
-            if named:
+            if is_resubmittable:
                 self.statuses[name] = post(self.program, name)[0]
             else:
                 self.statuses[name] = http_call(self.program.edge, "POST", "/result-post", b"x", Req_Id=name)[
@@ -37,54 +42,61 @@
 
         self.threads.append(threading.Thread(target=ask, daemon=True))
         self.threads[-1].start()
-        wait_for(lambda: self.it.ran[name], "the job to be out")
+        wait_for(lambda: self.deployment.ran[name], "the job to run")
 
-    def end(self) -> None:
-        """SIGTERM, and SIGKILL at its earliest."""
-        at = time.monotonic()
+    def stop_dispatcher(self) -> None:
+        """Send SIGTERM, then SIGKILL at the earliest time, and wait for the clients."""
+        sigterm_at = time.monotonic()
         self.program.process.send_signal(signal.SIGTERM)
-        time.sleep(max(0.0, at + earliest_kill(SETTINGS) - time.monotonic()))
+        time.sleep(max(0.0, sigterm_at + earliest_kill(SETTINGS) - time.monotonic()))
         self.program.process.kill()
         for thread in self.threads:
             thread.join(PATIENCE)
 
 
-class DurableJobs(unittest.TestCase):
-    def test_who_waits_is_told_and_the_job_goes_on(self) -> None:
-        with installation() as it:
-            program = it.start()
-            waiting = Waiting(it, program)
-            waiting.post("a1")
-            waiting.post("a2", named=False)
+class DurableJobsAtShutdown(unittest.TestCase):
+    """Durable jobs that run at SIGTERM."""
+
+    def test_waiting_clients_are_answered_and_the_jobs_continue(self) -> None:
+        """A job that continues after the restart has no answer yet, so its clients would get none before
+        SIGKILL."""
+        with installation() as deployment:
+            program = deployment.start()
+            clients = WaitingClients(deployment, program)
+            clients.post("a1")
+            clients.post("a2", is_resubmittable=False)
             gearman = GearmanPeer(program.at["gearman"])
             gearman.put(Kind.SUBMIT_JOB, b"result-post", b"g1", b"x")
-            wait_for(lambda: it.ran["g1"], "the Gearman job to be out")
-            waiting.end()
-            # By its name the first may be asked for again; the second could run once more by another id.
-            self.assertEqual(waiting.statuses, {"a1": 503, "a2": 500})
+            wait_for(lambda: deployment.ran["g1"], "the Gearman job to run")
+            clients.stop_dispatcher()
+            # The first can be resubmitted by its key; the second, under a new id, could run a second time.
+            self.assertEqual(clients.statuses, {"a1": 503, "a2": 500})
             self.assertIs(gearman.until(Kind.WORK_FAIL, Kind.WORK_COMPLETE).kind, Kind.WORK_FAIL)
             gearman.close()
-            second = it.start()
-            it.keeps.go.set()
+            second = deployment.start()
+            deployment.keeps.go.set()
             self.assertEqual(post(second, "a1"), (200, b"ran a1"))
-            self.assertEqual({name: it.ran[name] for name in ("a1", "a2", "g1")}, {"a1": 1, "a2": 1, "g1": 1})
-
-    def test_while_the_disk_takes_nothing(self) -> None:
-        """The job has ended, and its end waits for the disk; so does what another client is to be told."""
-        with installation() as it:
-            program = it.start()
-            waiting = Waiting(it, program)
-            waiting.post("a1")
+            self.assertEqual(
+                {name: deployment.ran[name] for name in ("a1", "a2", "g1")}, {"a1": 1, "a2": 1, "g1": 1}
+            )
+
+    def test_waiting_clients_are_answered_while_the_disk_cannot_be_written(self) -> None:
+        """The end of a job has to be on disk before its client is answered. Where that write fails, the
+        client must still get an answer before SIGKILL."""
+        with installation() as deployment:
+            program = deployment.start()
+            clients = WaitingClients(deployment, program)
+            clients.post("a1")
             limits = resource.prlimit(program.process.pid, resource.RLIMIT_FSIZE, (1, -1))
-            it.keeps.go.set()
-            wait_for(lambda: it.keeps.statuses, "its worker's call-back to be answered")
-            waiting.end()
+            deployment.keeps.go.set()
+            wait_for(lambda: deployment.keeps.statuses, "its worker's call-back to be answered")
+            clients.stop_dispatcher()
             del limits
-            self.assertIn(waiting.statuses["a1"], (500, 503))
-            second = it.start()
+            self.assertIn(clients.statuses["a1"], (500, 503))
+            second = deployment.start()
             status, _ = post(second, "a1")
             self.assertIn(status, (200, 500))
-            self.assertEqual(it.ran["a1"], 1)
+            self.assertEqual(deployment.ran["a1"], 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,5 +1,7 @@
-"""The wall clock steps, by seconds or an hour, either way: deadlines, windows and warm-ups are spans of
-real time all the same."""
+"""Tests that steps of the wall clock, by seconds or an hour in either direction, do no harm.
+
+Deadlines, repeat windows and warm-ups must last their real time nevertheless.
+"""
 
 from __future__ import annotations
 
@@ -17,49 +19,55 @@
 from tests.crossing import HandClock, Stage, staged
 from tests.standins import HttpWorker, http_call, running
 
-STEPS = (-3_600_000.0, -5000.0, -1000.0, 1000.0, 5000.0, 3_600_000.0)
-COLD = {"cold_share": 0.25, "drain_grace": 500.0, "fall": 2000.0, "fall_multiple": 2.0,
+STEPS_MS = (-3_600_000.0, -5000.0, -1000.0, 1000.0, 5000.0, 3_600_000.0)
+COLD_START_RULES = {"cold_share": 0.25, "drain_grace": 500.0, "fall": 2000.0, "fall_multiple": 2.0,
         "grace_to_answer": 16.0, "warm_up": 10_000.0}  # fmt: skip
 
 
 class Wall:
-    """A wall clock in the test's hands, beside a steady one."""
+    """A steady clock and a wall clock, both set by the test."""
 
     def __init__(self) -> None:
-        self.steady = HandClock()
-        self.ahead = 0.0
+        self.steady_clock = HandClock()
+        self.ahead_ms = 0.0
 
     def read(self) -> float:
-        return self.steady.at + self.ahead
+        """Return the wall clock's time in ms."""
+        return self.steady_clock.at + self.ahead_ms
 
 
-class Translating(unittest.TestCase):
-    """`WallClock.steady` of a server's start, by when the clock stepped and when that was looked at."""
+class WallClockTranslation(unittest.TestCase):
+    """`WallClock.steady` for the start of a worker, by when the clock stepped and when it was sampled."""
 
-    def play(self, step: float, started_ago: float, stepped_ago: float, looked: tuple[float, ...]) -> float:
-        """How old a server is taken to be that started so long ago, in ms; looks are told as ms ago."""
+    def translated_age(
+        self, step: float, started_ago: float, stepped_ago: float, sampled_ago: tuple[float, ...]
+    ) -> float:
+        """Return the age in ms that is computed for a worker; all arguments are in ms."""
         wall = Wall()
         events = sorted(
-            [(started_ago, "start"), (stepped_ago, "step"), *((ago, "look") for ago in looked)], reverse=True
+            [(started_ago, "start"), (stepped_ago, "step"), *((ago, "sample") for ago in sampled_ago)],
+            reverse=True,
         )
         with mock.patch.object(wall_clock, "read_wall", wall.read):
-            clock = WallClock(wall.steady)
-            now = wall.steady.at + 100_000.0
+            clock = WallClock(wall.steady_clock)
+            now = wall.steady_clock.at + 100_000.0
             started = 0.0
-            for ago, what in events:
-                wall.steady.at = now - ago
-                if what == "start":
+            for ago, event in events:
+                wall.steady_clock.at = now - ago
+                if event == "start":
                     started = wall.read()
-                elif what == "step":
-                    wall.ahead += step
+                elif event == "step":
+                    wall.ahead_ms += step
                 else:
                     clock.look()
-            wall.steady.at = now
+            wall.steady_clock.at = now
             return now - clock.steady(started)
 
-    def test_a_start_before_or_after_a_step(self) -> None:
-        looks = tuple(float(ms) for ms in range(500, 60_000, 2000))
-        for step in STEPS:
+    def test_start_before_or_after_a_step(self) -> None:
+        """A start on one side of a step, translated by the offset of the other side, would make a cold worker
+        look warm."""
+        sample_times = tuple(float(ms) for ms in range(500, 60_000, 2000))
+        for step in STEPS_MS:
             for started, stepped in (
                 (3000.0, 30_000.0),
                 (30_000.0, 3000.0),
@@ -67,38 +75,45 @@
                 (7000.0, 8000.0),
             ):
                 with self.subTest(step=step, started=started, stepped=stepped):
-                    age = self.play(step, started, stepped, looks)
-                    self.assertLessEqual(age, started + 1)  # never older than it is
+                    age = self.translated_age(step, started, stepped, sample_times)
+                    self.assertLessEqual(age, started + 1)  # never older than in reality
                     if abs(step) > 10_000:
                         self.assertAlmostEqual(age, started, delta=1)
 
-    def test_without_a_look_between_it_is_not_taken_for_older(self) -> None:
-        for step in STEPS:
+    def test_without_a_sample_in_between_the_worker_is_not_taken_for_older(self) -> None:
+        """If the clock was not sampled between the start and the step, their order is unknown. The worker
+        must then count as the younger, and so the colder, of both."""
+        for step in STEPS_MS:
             for started, stepped in ((3000.0, 4000.0), (4000.0, 3000.0)):
                 with self.subTest(step=step, started=started, stepped=stepped):
-                    self.assertLessEqual(self.play(step, started, stepped, (60_000.0,)), started + 1)
+                    self.assertLessEqual(
+                        self.translated_age(step, started, stepped, (60_000.0,)), started + 1
+                    )
 
-    def test_without_a_step_it_is_told_as_it_stands(self) -> None:
-        self.assertEqual(self.play(0.0, 3000.0, 1.0, (9000.0, 2000.0)), 3000.0)
-        self.assertEqual(self.play(100.0, 3000.0, 1.0, (9000.0, 2000.0)), 3000.0)
+    def test_without_a_step_the_time_is_unchanged(self) -> None:
+        """An offset that changes by less than a step must not shift the time."""
+        self.assertEqual(self.translated_age(0.0, 3000.0, 1.0, (9000.0, 2000.0)), 3000.0)
+        self.assertEqual(self.translated_age(100.0, 3000.0, 1.0, (9000.0, 2000.0)), 3000.0)
 
-    def test_readings_with_a_pause_between_say_nothing(self) -> None:
+    def test_readings_with_a_stall_in_between_are_ignored(self) -> None:
+        """If the process stalls between its readings of the two clocks, their difference is no offset."""
         wall = Wall()
 
-        def slow() -> float:
-            wall.steady.at += 150
+        def read_slowly() -> float:
+            wall.steady_clock.at += 150
             return wall.read() + 500
 
-        with mock.patch.object(wall_clock, "read_wall", slow):
-            clock = WallClock(wall.steady)
+        with mock.patch.object(wall_clock, "read_wall", read_slowly):
+            clock = WallClock(wall.steady_clock)
             clock.look()
-            self.assertEqual([o.value for o in clock.offsets], [0.0])
+            self.assertEqual([offset.value for offset in clock.offsets], [0.0])
 
 
-class Starts(unittest.TestCase):
-    """A server that begins after a step is cold for as long as the settings say, by real time."""
+class ColdWorkers(unittest.TestCase):
+    """A worker that starts after a step is cold for as long as the settings say, in real time."""
 
-    def listed(self, stage: Stage, name: str, started: float) -> None:
+    def list_worker(self, stage: Stage, name: str, started: float) -> None:
+        """Have discovery list a worker that started at this wall-clock time."""
         source = stage.service.discovery
         assert source is not None
         entry = api.WorkerEntry(name, "", "m", 0, api.WorkerState.IN_SERVICE, 1.0, started)
@@ -106,23 +121,28 @@
         stage.core.list_told(source.link, api.ListKind.CHANGES, source.on_our_clock(entries))
         stage.core.decide()
 
-    def test_a_cold_server_after_a_step(self) -> None:
-        for step in STEPS:
-            with self.subTest(step=step), staged(discovery="127.0.0.1:9", settings={"rules": COLD}) as stage:
+    def test_worker_that_starts_after_a_step_is_cold_for_its_real_warm_up(self) -> None:
+        """Without the translation, a step of the clock would lengthen the warm-up or skip it, and a second
+        step would make the same process look restarted."""
+        for step in STEPS_MS:
+            with (
+                self.subTest(step=step),
+                staged(discovery="127.0.0.1:9", settings={"rules": COLD_START_RULES}) as stage,
+            ):
                 stage.pass_time(20_000)
                 stage.wall_ahead += step
                 stage.pass_time(20_000)
                 started = stage.clock.at - 2000
-                self.listed(stage, "w", started + stage.wall_ahead)
+                self.list_worker(stage, "w", started + stage.wall_ahead)
                 worker = stage.core.module.workers["w"]
                 self.assertAlmostEqual(worker.cold_until, started + 10_000, delta=1)
-                # Told again after another step, it is the same process.
+                # Listed again after another step, it is still the same process.
                 stage.wall_ahead += step
-                self.listed(stage, "w", started + stage.wall_ahead - step)
+                self.list_worker(stage, "w", started + stage.wall_ahead - step)
                 self.assertAlmostEqual(worker.cold_until, started + 10_000, delta=1)
 
 
-STEPPING = """
+STEPPING_CLOCK_PRELUDE = """
 import itertools, time
 real, began, turns = time.time, time.monotonic(), itertools.count()
 def stepping():
@@ -131,9 +151,11 @@
 """
 
 
-class RealProcess(unittest.TestCase):
-    def test_deadlines_and_the_end_keep_their_spans(self) -> None:
-        """The clock steps twenty times a second, by up to two hours."""
+class DispatcherProcess(unittest.TestCase):
+    """A dispatcher process whose wall clock steps twenty times a second, by up to two hours."""
+
+    def test_deadlines_and_shutdown_last_their_real_time(self) -> None:
+        """A deadline measured by the wall clock would pass too early or too late."""
 
         def hang(worker: HttpWorker, rid: str, handler: Any) -> None:
             worker.ran[rid] += 1
@@ -143,10 +165,10 @@
                 handler.say(202)
 
         worker = HttpWorker("w1", hang)
-        with running([worker], prelude=STEPPING) as (program, _):
+        with running([worker], prelude=STEPPING_CLOCK_PRELUDE) as (program, _):
             self.assertEqual(http_call(program.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             for cls, wait in (("time-lookup", 600), ("result-post", 900)):
-                begun = time.monotonic()
+                begun_at = time.monotonic()
                 status, _, _ = http_call(
                     program.edge,
                     "POST",
@@ -155,21 +177,21 @@
                     Req_Deadline_Ms=str(wait),
                     Req_Cost="9000",
                 )
-                took = (time.monotonic() - begun) * 1000
+                took_ms = (time.monotonic() - begun_at) * 1000
                 self.assertIn(status, (500, 503))
-                self.assertLess(took, wait + 150)
+                self.assertLess(took_ms, wait + 150)
                 if worker.ran[f"h-{cls}"] and cls == "result-post":
-                    self.assertGreater(took, wait - 150)
-            told = [
-                int(h["req-deadline-ms"])
-                for _, _, h, _ in worker.seen
-                if h.get("req-id", "").startswith("h-")
+                    self.assertGreater(took_ms, wait - 150)
+            deadlines_sent = [
+                int(headers["req-deadline-ms"])
+                for _, _, headers, _ in worker.seen
+                if headers.get("req-id", "").startswith("h-")
             ]
-            self.assertTrue(told and max(told) <= 900, json.dumps(told))
-            begun = time.monotonic()
+            self.assertTrue(deadlines_sent and max(deadlines_sent) <= 900, json.dumps(deadlines_sent))
+            begun_at = time.monotonic()
             program.process.send_signal(signal.SIGTERM)
             self.assertEqual(program.process.wait(10), 0)
-            self.assertLess(time.monotonic() - begun, 3.7)
+            self.assertLess(time.monotonic() - begun_at, 3.7)
 
 
 if __name__ == "__main__":
