--- a/eiderpin/core/dispatcher.py
+++ b/eiderpin/core/dispatcher.py
@@ -18,7 +18,7 @@
 from eiderpin.core import learned, request_log
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Clock, Deadline, Deadlines
-from eiderpin.core.durability import Keeper, OtherJob
+from eiderpin.core.durability import DurableJobManager, JobMismatchError
 from eiderpin.core.invariants import must
 from eiderpin.core.learned import Learned
 from eiderpin.core.request_log import EndReason
@@ -26,9 +26,9 @@
     FAILED,
     Answer,
     Attempt,
+    Endpoint,
     Request,
     ResponseSink,
-    ServiceEntry,
     Verdict,
     WorkerLink,
 )
@@ -46,14 +46,14 @@
 MAX_RETAINED_BYTES = 16 * 1024 * 1024
 
 
-class IdTaken(Exception):
+class RequestIdInUseError(Exception):
     """The request id is in use by another request whose id may be given only once."""
 
 
-class WorkerOrders(Protocol):
+class WorkerOverrides(Protocol):
     """Operators' overrides for workers, which take precedence over what the sources of workers report."""
 
-    def on(self, entry: api.WorkerEntry) -> api.WorkerEntry:
+    def apply(self, entry: api.WorkerEntry) -> api.WorkerEntry:
         """Return the worker's entry with the operators' overrides applied."""
         ...
 
@@ -64,7 +64,7 @@
     def watch(self) -> None:
         """Start a watch, unless one is active or being requested.
 
-        Its lists, and its failure, are reported through `Dispatcher.list_told`.
+        Its lists, and its failure, are reported through `Dispatcher.apply_worker_list`.
         """
         ...
 
@@ -82,7 +82,7 @@
         self.module = decide.Dispatcher(settings, seed)
         self.classes = {c.name: c for c in settings.classes}
         self.requests: SlotTable[Request] = SlotTable()
-        self.entries: dict[str, ServiceEntry] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.listed = False  # whether any list of workers has been received
         self._by_unique: dict[tuple[str, str], Request] = {}
         self._by_wire_id: dict[str, Request] = {}
@@ -91,9 +91,9 @@
         self._retained: OrderedDict[tuple[str, str], tuple[float, Answer, bool]] = OrderedDict()
         self._retained_bytes = 0
         self._last_wire_number = 0
-        self.ids_beside: set[str] = set()  # ids of the requests that the peer process holds
-        self.keeper: Keeper | None = None  # None: no class of jobs is durable
-        self.orders: WorkerOrders | None = None  # None: operators cannot override workers here
+        self.peer_request_ids: set[str] = set()  # ids of the requests that the peer process holds
+        self.job_manager: DurableJobManager | None = None  # None: no class of jobs is durable
+        self.overrides: WorkerOverrides | None = None  # None: operators cannot override workers here
         self.source: ListSource | None = None  # None: lists arrive without being requested
         self.outstanding = 0  # requests that were accepted and have not ended
         self.answers_by = math.inf  # when the last answer is due, once the process is shutting down
@@ -109,38 +109,43 @@
         never runs the job again. Returns the request that will be answered, which is the running one for a
         resubmission.
 
-        Raises `IdTaken` if the id is in use and the new request's id may be given only once: joining would
-        give this client the answer to another client's request, and running it would show a worker one id for
-        two requests. Raises `OtherJob` if a durable job of this id has another target or body.
+        Raises `RequestIdInUseError` if the id is in use and the new request's id may be given only once:
+        joining would give this client the answer to another client's request, and running it would show a
+        worker one id for two requests. Raises `JobMismatchError` if a durable job of this id has another
+        target or body.
         """
         now = self.clock.now()
         job_key = (request.cls, request.unique)
         self.counters.add("in.requests")
         # With no time left no durable job is begun: the decision module refuses the request at once.
         takes_on = self.is_durable(request.cls) and now < self.answers_by
-        keeper = self.keeper if takes_on else None
-        if keeper is None:
+        job_manager = self.job_manager if takes_on else None
+        if job_manager is None:
             self._bound_deadline(request)
         if request.unique:
             open_request = self._by_unique.get(job_key)
             retained = self._retained.get(job_key)
             if retained is not None and retained[0] <= now:
                 retained = None
-            is_taken = open_request.once if open_request is not None else retained is not None and retained[2]
+            is_taken = (
+                open_request.single_use_id
+                if open_request is not None
+                else retained is not None and retained[2]
+            )
             is_used_elsewhere = (
                 open_request is None
                 and request.unique in self._by_wire_id
-                or request.unique in self.ids_beside
+                or request.unique in self.peer_request_ids
             )
-            if request.once and (is_taken or is_used_elsewhere):
-                raise IdTaken
-            if keeper is not None and open_request is None:
-                answer = keeper.kept(request)
+            if request.single_use_id and (is_taken or is_used_elsewhere):
+                raise RequestIdInUseError
+            if job_manager is not None and open_request is None:
+                answer = job_manager.stored_answer(request)
                 retained = (now, answer, False) if answer is not None else None
             if open_request is not None:
                 is_same_job = open_request.body == request.body and open_request.target == request.target
-                if keeper is not None and not is_same_job:
-                    raise OtherJob
+                if job_manager is not None and not is_same_job:
+                    raise JobMismatchError
                 self.counters.add("in.joined")
                 if waiter is not None:
                     self._join(open_request, request, waiter)
@@ -149,8 +154,10 @@
             if retained is not None:
                 self.counters.add("in.kept")
                 request.ended = True
-                if waiter is not None and keeper is not None:
-                    keeper.tell_kept(request, retained[1], lambda answer: waiter.answer(request, answer))
+                if waiter is not None and job_manager is not None:
+                    job_manager.deliver_stored_answer(
+                        request, retained[1], lambda answer: waiter.answer(request, answer)
+                    )
                 elif waiter is not None:
                     waiter.answer(request, retained[1])
                 return request
@@ -159,13 +166,13 @@
         try:
             request.id = self.requests.add(request)
         except TableFull:
-            self._finish(request, self.turned_down(math.inf), EndReason.NO_ROOM)
+            self._finish(request, self.rejection(math.inf), EndReason.NO_ROOM)
             return request
         self.outstanding += 1
         request.backstop = self._start_backstop(request)
         request.wire_id = self._assign_wire_id(request.unique)
         self._by_wire_id[request.wire_id] = request
-        if keeper is not None and not keeper.take(request):
+        if job_manager is not None and not job_manager.accept(request):
             self._reject_not_durable(request)
             return request
         if request.unique:
@@ -175,7 +182,7 @@
 
     def is_durable(self, cls: str) -> bool:
         """Return whether jobs of this class survive the end of the process."""
-        return self.keeper is not None and self.keeper.covers_class(cls)
+        return self.job_manager is not None and self.job_manager.covers_class(cls)
 
     def decision_request(self, request: Request) -> api.Request:
         """Return the event that describes the request to the decision module."""
@@ -237,7 +244,7 @@
             request.waiters.remove(waiter)
         request.background = request.background or bool(request.job)
         request_log.request_event("answered as the process ends", request, logging.INFO)
-        waiter.answer(request, self.turned_down() if request.is_resubmittable else FAILED)
+        waiter.answer(request, self.rejection() if request.is_resubmittable else FAILED)
 
     def _start_backstop(self, request: Request) -> Deadline:
         """Schedule the answer that a request gets if nothing else answers it by its deadline."""
@@ -254,7 +261,7 @@
                 request.waiters.remove(waiter)
                 self.counters.add("answer.joined_overdue")
                 waiter.answer(
-                    request, self.turned_down() if joining.cut_short and joining.is_resubmittable else FAILED
+                    request, self.rejection() if joining.cut_short and joining.is_resubmittable else FAILED
                 )
 
         request.waiters.append(waiter)
@@ -279,7 +286,7 @@
         self._events.append(api.RequestGone(request.id))
         self._finish(request, None, EndReason.CLIENT_LEFT)
 
-    def turn_down(self, request: Request) -> None:
+    def reject(self, request: Request) -> None:
         """Reject an accepted request that could not be stored durably; nothing of it has been sent yet."""
         if not request.ended:
             self._events.append(api.RequestGone(request.id))
@@ -288,7 +295,7 @@
     def _reject_not_durable(self, request: Request) -> None:
         """Answer with a rejection since the request could not be stored durably."""
         self.counters.add("in.not_durable")
-        self._finish(request, self.turned_down(), EndReason.NOT_DURABLE)
+        self._finish(request, self.rejection(), EndReason.NOT_DURABLE)
 
     def detach(self, request: Request, waiter: ResponseSink) -> None:
         """Note that a waiting client has disconnected but may resubmit the job.
@@ -305,7 +312,7 @@
 
     # -- from the worker links
 
-    def list_told(
+    def apply_worker_list(
         self,
         link: WorkerLink,
         kind: api.ListKind,
@@ -321,36 +328,41 @@
         listed: list[api.WorkerEntry] = []
         names = set()
         for source_entry, address in workers:
-            worker = self.orders.on(source_entry) if self.orders is not None else source_entry
-            entry = self.entries.get(worker.name)
-            if entry is None:
-                entry = self.entries[worker.name] = ServiceEntry(worker, address, link)
-            entry.source_entry = source_entry
-            self._update_endpoint(entry, worker, address, now)
+            worker = self.overrides.apply(source_entry) if self.overrides is not None else source_entry
+            endpoint = self.endpoints.get(worker.name)
+            if endpoint is None:
+                endpoint = self.endpoints[worker.name] = Endpoint(worker, address, link)
+            endpoint.source_entry = source_entry
+            self._update_endpoint(endpoint, worker, address, now)
             names.add(worker.name)
             listed.append(worker)
         if kind in (api.ListKind.COMPLETE, api.ListKind.STORED):
-            for entry in self.entries.values():
-                if entry.link is link and entry.name not in names:
-                    if entry.listed.state is not api.WorkerState.GONE:
-                        gone = replace(entry.listed, state=api.WorkerState.GONE)
-                        self._update_endpoint(entry, gone, entry.address, now)
-                elif entry.link is not link:
-                    listed.append(entry.listed)
+            for endpoint in self.endpoints.values():
+                if endpoint.link is link and endpoint.name not in names:
+                    if endpoint.listed.state is not api.WorkerState.GONE:
+                        gone = replace(endpoint.listed, state=api.WorkerState.GONE)
+                        self._update_endpoint(endpoint, gone, endpoint.address, now)
+                elif endpoint.link is not link:
+                    listed.append(endpoint.listed)
         self.listed = self.listed or kind is not api.ListKind.FAILED
         is_being_asked = kind is api.ListKind.STORED and self.source is None
         self._events.append(api.Membership(kind, listed, by_discovery, is_being_asked))
 
-    def reorder(self, names: Iterable[str]) -> None:
+    def reapply_overrides(self, names: Iterable[str]) -> None:
         """Update the workers of these names, whose overrides have changed."""
         changed = []
         for name in names:
-            entry = self.entries.get(name)
-            if entry is None or entry.source_entry is None or not entry.is_listed or self.orders is None:
+            endpoint = self.endpoints.get(name)
+            if (
+                endpoint is None
+                or endpoint.source_entry is None
+                or not endpoint.is_listed
+                or self.overrides is None
+            ):
                 continue
-            worker = self.orders.on(entry.source_entry)
-            if worker != entry.listed:
-                self._update_endpoint(entry, worker, entry.address, self.clock.now())
+            worker = self.overrides.apply(endpoint.source_entry)
+            if worker != endpoint.listed:
+                self._update_endpoint(endpoint, worker, endpoint.address, self.clock.now())
                 changed.append(worker)
         if changed:
             self._events.append(api.Membership(api.ListKind.CHANGES, changed, by_discovery=False))
@@ -366,15 +378,15 @@
         return True
 
     def _update_endpoint(
-        self, entry: ServiceEntry, worker: api.WorkerEntry, address: object, now: float
+        self, endpoint: Endpoint, worker: api.WorkerEntry, address: object, now: float
     ) -> None:
         """Set an endpoint's worker and address, and inform its link."""
-        entry.listed, entry.address = worker, address
+        endpoint.listed, endpoint.address = worker, address
         if worker.state is api.WorkerState.IN_SERVICE:
-            entry.withdrawn_at = None
-        elif entry.withdrawn_at is None:
-            entry.withdrawn_at = now
-        entry.link.entry_changed(entry)
+            endpoint.withdrawn_at = None
+        elif endpoint.withdrawn_at is None:
+            endpoint.withdrawn_at = now
+        endpoint.link.endpoint_changed(endpoint)
 
     def may_begin(self, attempt: Attempt) -> bool:
         """Return whether the first byte of an attempt may be written now.
@@ -384,10 +396,10 @@
         agrees: it checks the repeat window, the deadline, and which other attempts may have run.
         """
         request, now = attempt.request, self.clock.now()
-        if attempt.ended or not request.may_start_attempt or self.is_deserted(request):
+        if attempt.ended or not request.may_start_attempt or self.all_waiters_left(request):
             return False
         grace = self.settings.drain_grace - DRAIN_GRACE_MARGIN_MS
-        if not attempt.entry.accepts_sends(now, grace):
+        if not attempt.endpoint.accepts_sends(now, grace):
             self.counters.add("out.late.drained")
             return False
         if not self.module.may_begin(request.id, attempt.number, now):
@@ -400,7 +412,7 @@
         until = min(attempt.made_at + attempt.timeout, attempt.request.deadline - ANSWER_MARGIN_MS)
         return until - self.clock.now()
 
-    def is_deserted(self, request: Request) -> bool:
+    def all_waiters_left(self, request: Request) -> bool:
         """Return whether all waiting clients have disconnected, even if that has not been processed yet.
 
         After a stall of the process, the events that are ready in one turn of the event loop are not always
@@ -441,8 +453,8 @@
             outcome=outcome.value,
             ms=round(self.clock.now() - attempt.made_at, 1),
         )
-        if request.job and self.keeper is not None:
-            self.keeper.released(attempt, outcome)
+        if request.job and self.job_manager is not None:
+            self.job_manager.released(attempt, outcome)
         if outcome is api.Outcome.DONE and not request.ended:
             self._finish(request, Answer(Verdict.SERVED, result), EndReason.RESULT)
         elif request.abandoned and not request.may_start_attempt and all(s.ended for s in request.attempts):
@@ -450,7 +462,7 @@
             self._finish(request, None, EndReason.CLIENT_LEFT)
         self._events.append(
             api.AttemptEnded(
-                request.id, attempt.number, attempt.entry.name, outcome,
+                request.id, attempt.number, attempt.endpoint.name, outcome,
                 self.clock.now() - attempt.made_at, request.ended, report, stale,
             )
         )  # fmt: skip
@@ -462,27 +474,27 @@
             return
         attempt.accepted = True
         request = attempt.request
-        if request.job and self.keeper is not None:
-            self.keeper.renew(attempt)
-        self._events.append(api.Progress(request.id, attempt.number, attempt.entry.name, started, share))
+        if request.job and self.job_manager is not None:
+            self.job_manager.renew(attempt)
+        self._events.append(api.Progress(request.id, attempt.number, attempt.endpoint.name, started, share))
         if share > request.share and not request.ended:
             request.share = share
             for waiter in request.waiters:
                 waiter.progress(request, share)
 
-    def data_part(self, attempt: Attempt, data: bytes, warning: bool) -> None:
+    def forward_data(self, attempt: Attempt, data: bytes, warning: bool) -> None:
         """Pass a worker's partial data to the fronts of the waiting clients."""
         for waiter in attempt.request.waiters:
-            waiter.data_part(attempt.request, data, warning)
+            waiter.forward_data(attempt.request, data, warning)
 
-    def probed(self, entry: ServiceEntry, ok: bool, elapsed: float, report: api.Report | None = None) -> None:
+    def probed(self, endpoint: Endpoint, ok: bool, elapsed: float, report: api.Report | None = None) -> None:
         """Note the result of a probe; `elapsed` is in ms."""
         self.counters.add("out.probe.answered" if ok else "out.probe.failed")
-        self._events.append(api.ProbeEnded(entry.name, ok, elapsed, report))
+        self._events.append(api.ProbeEnded(endpoint.name, ok, elapsed, report))
 
     # -- the peer process, older or newer, during an upgrade
 
-    def tell(self, event: api.Beside | api.Adopted | api.Request | api.RequestGone) -> None:
+    def add_event(self, event: api.Beside | api.Adopted | api.Request | api.RequestGone) -> None:
         """Queue an event for the decision module.
 
         It tells what the peer process holds, or that a request moves between processes or is recovered from
@@ -490,10 +502,10 @@
         """
         self._events.append(event)
 
-    def tell_learned(self, found: Learned) -> None:
+    def apply_learned(self, found: Learned) -> None:
         """Pass on what another process has learned of workers, after all events queued so far."""
         self.decide()
-        learned.take(self.module, found)
+        learned.apply_to(self.module, found)
 
     def hand_off(self, request: Request) -> None:
         """Drop a request that another process continues.
@@ -568,15 +580,15 @@
             for action in self.module.handle(self.clock.now(), events):
                 self._perform(action)
 
-    def turned_down(self, wait: float | None = None) -> Answer:
+    def rejection(self, wait: float | None = None) -> Answer:
         """Return the answer that rejects a request.
 
         Where the settings allow it, the answer advises a wait of at most `max_wait_advice` ms before a retry.
         """
         if not self.settings.may_advise_wait:
-            return Answer(Verdict.TURNED_DOWN)
+            return Answer(Verdict.REJECTED)
         wait = min(self.settings.max_wait_advice, DEFAULT_RETRY_WAIT_MS if wait is None else wait)
-        return Answer(Verdict.TURNED_DOWN, wait=wait)
+        return Answer(Verdict.REJECTED, wait=wait)
 
     def _perform(self, action: api.Action) -> None:
         """Carry out one action of the decision module."""
@@ -589,17 +601,17 @@
         elif isinstance(action, api.Refuse | api.Fail):
             request = self.requests.get(action.request)
             if request is not None and isinstance(action, api.Refuse):
-                self._finish(request, self.turned_down(action.wait), EndReason.REFUSED)
+                self._finish(request, self.rejection(action.wait), EndReason.REFUSED)
             elif request is not None:
                 self._finish(request, FAILED, EndReason.FAILED)
         elif isinstance(action, api.SetTimer):
             handle = action.handle
             self.deadlines.set(action.at, lambda: self._events.append(api.TimerFired(handle)))
         elif isinstance(action, api.Probe):
-            entry = self.entries.get(action.worker)
-            if entry is not None:
+            endpoint = self.endpoints.get(action.worker)
+            if endpoint is not None:
                 self.counters.add("out.probes")
-                entry.link.probe(entry)
+                endpoint.link.probe(endpoint)
         elif isinstance(action, api.Watch) and action.on and self.source is not None:
             self.counters.add("out.watches")
             self.source.watch()
@@ -607,36 +619,36 @@
     def _send(self, action: api.Send) -> None:
         """Start an attempt; that of a durable job is sent once its lease is on disk."""
         request = self.requests.get(action.request)
-        entry = self.entries.get(action.worker)
-        if request is None or entry is None:
+        endpoint = self.endpoints.get(action.worker)
+        if request is None or endpoint is None:
             must(False, "sends name a request and a service entry")
             return
         now = self.clock.now()
         left = max(0.0, request.deadline - now)
         timeout = left if action.timeout is None else min(left, action.timeout)
-        attempt = Attempt(request, len(request.attempts), entry, now, timeout)
+        attempt = Attempt(request, len(request.attempts), endpoint, now, timeout)
         request.attempts.append(attempt)
         request_log.attempt_event("an attempt is sent", attempt, time_out=round(timeout))
         if must(not request.ended, "no send after the end"):
             self._start_timeout(attempt)
-            if request.job and self.keeper is not None:
-                self.keeper.lease(attempt, lambda: entry.link.send(attempt))
+            if request.job and self.job_manager is not None:
+                self.job_manager.lease(attempt, lambda: endpoint.link.send(attempt))
             else:
-                entry.link.send(attempt)
+                endpoint.link.send(attempt)
         else:
             self.ended(attempt, api.Outcome.NOT_SENT)
 
     def _time_out(self, attempt: Attempt) -> None:
         """End an attempt whose time is over."""
         if not attempt.ended:
-            attempt.entry.link.cancel(attempt)
+            attempt.endpoint.link.cancel(attempt)
             self.ended(attempt, api.Outcome.TIMED_OUT)
 
     def _cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt that has not ended."""
         if not attempt.ended:
             self.counters.add("out.cancels")
-            attempt.entry.link.cancel(attempt)
+            attempt.endpoint.link.cancel(attempt)
             self.ended(attempt, api.Outcome.CANCELLED)
 
     def _answer_overdue(self, request: Request) -> None:
@@ -658,13 +670,13 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the figures for operators: how the jobs of each class ended, and the present state."""
-        counts, listed = self.counters.counts, [e for e in self.entries.values() if e.is_listed]
+        counts, listed = self.counters.counts, [e for e in self.endpoints.values() if e.is_listed]
         return {
             "results": {c: {v.value: counts[f"answer.{c}.{v.value}"] for v in Verdict} for c in self.classes},
             "forwards": counts["out.attempts"],
             "outstanding": self.outstanding,
             "discovered": len(listed),
-            "ejected": len(self.module.avoided(self.clock.now()) & {e.name for e in listed}),
+            "ejected": len(self.module.list_ejected_workers(self.clock.now()) & {e.name for e in listed}),
         }
 
     # -- how a request ends
@@ -684,9 +696,9 @@
         self._cancel_unsent_attempts(request)
         is_answered, answer = answer is not None and bool(request.waiters), answer or FAILED
         self._log_end(request, answer, reason)
-        if request.job and self.keeper is not None:
+        if request.job and self.job_manager is not None:
             # Nobody is answered until the end is on disk; until then a resubmission can join the job.
-            self.keeper.end(request, answer, is_answered, lambda answer: self._deliver(request, answer))
+            self.job_manager.end(request, answer, is_answered, lambda answer: self._deliver(request, answer))
         else:
             self._deliver(request, answer)
         self._free_slot(request)
@@ -712,7 +724,7 @@
         """
         for attempt in request.attempts:
             if not attempt.ended and not attempt.may_have_run:
-                attempt.entry.link.cancel(attempt)
+                attempt.endpoint.link.cancel(attempt)
                 self.ended(attempt, api.Outcome.NOT_SENT)
 
     def _deliver(self, request: Request, answer: Answer) -> None:
@@ -748,7 +760,7 @@
             replaced = self._retained.pop(job_key, None)
             self._retained_bytes += len(answer.result) - (len(replaced[1].result) if replaced else 0)
             now = self.clock.now()
-            self._retained[job_key] = (now + RETENTION_MS, answer, request.once)
+            self._retained[job_key] = (now + RETENTION_MS, answer, request.single_use_id)
             while self._retained:
                 oldest_key = next(iter(self._retained))
                 until, oldest, _ = self._retained[oldest_key]
--- a/eiderpin/core/durability.py
+++ b/eiderpin/core/durability.py
@@ -9,33 +9,35 @@
 from eiderpin.interface import Outcome
 
 
-class OtherJob(Exception):
+class JobMismatchError(Exception):
     """The job of this name was submitted with another target or body."""
 
 
-class Keeper(Protocol):
+class DurableJobManager(Protocol):
     """Stores durable jobs, their leases and their ends."""
 
     def covers_class(self, cls: str) -> bool:
         """Return whether jobs of this class are durable."""
         ...
 
-    def kept(self, request: Request) -> Answer | None:
+    def stored_answer(self, request: Request) -> Answer | None:
         """Return the stored answer of the ended job of this name, if there is one.
 
-        Raises `OtherJob` if that job had another target or body.
+        Raises `JobMismatchError` if that job had another target or body.
         """
         ...
 
-    def tell_kept(self, request: Request, answer: Answer, deliver: Callable[[Answer], None]) -> None:
+    def deliver_stored_answer(
+        self, request: Request, answer: Answer, deliver: Callable[[Answer], None]
+    ) -> None:
         """Pass a stored answer to `deliver`, once it is on disk that a client has been answered."""
         ...
 
-    def take(self, request: Request) -> bool:
+    def accept(self, request: Request) -> bool:
         """Store a new job; return False if the disk cannot be written now."""
         ...
 
-    def when_kept(self, request: Request, call: Callable[[bool], None]) -> None:
+    def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
         """Call `call` once all records of the job are on disk (True) or cannot be written (False)."""
         ...
 
@@ -60,7 +62,7 @@
         """
         ...
 
-    def late(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
+    def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
         """Handle a worker's report on a job that is no longer running.
 
         Returns whether the job is one of this manager's.
--- a/eiderpin/core/learned.py
+++ b/eiderpin/core/learned.py
@@ -15,50 +15,63 @@
 Learned: TypeAlias = dict[str, dict[str, tuple[float, ...]]]  # figures by kind and name
 
 
-def of(module: Dispatcher) -> Learned:
+def collect(module: Dispatcher) -> Learned:
     """Return what this process has learned, so that a new process need not learn it again.
 
     The result is empty as long as this process has seen no run.
     """
-    if module.pace.work <= 0:
+    if module.run_ratio.work <= 0:
         return {}
     return {
         "shapes": {
-            name: (shape.slots, shape.misses, shape.slow, shape.pace.run, shape.pace.work)
+            name: (
+                shape.slots, shape.failed_slot_trials, shape.slowdown,
+                shape.run_ratio.run, shape.run_ratio.work,
+            )
             for name, shape in module.shapes.items()
         },
         "workers": {
-            name: (worker.slow, worker.pace.run, worker.pace.work, module.fault_of(worker))
-            for name, worker in module.workers.items() if worker.pace.work or worker.fault
+            name: (worker.slowdown, worker.run_ratio.run, worker.run_ratio.work, module.fault_of(worker))
+            for name, worker in module.workers.items() if worker.run_ratio.work or worker.failure_rate
         },
-        "fleet": {"": (module.run_mean, module.pace.run, module.pace.work)},
+        "fleet": {"": (module.mean_run_ms, module.run_ratio.run, module.run_ratio.work)},
     }  # fmt: skip
 
 
-def take(module: Dispatcher, learned: Learned) -> None:
+def apply_to(module: Dispatcher, learned: Learned) -> None:
     """Replace this process's initial estimates by what another process has learned.
 
     Ignored once this process has seen a run of its own. Shapes and workers that it does not know are skipped.
     """
-    if module.pace.work > 0:
+    if module.run_ratio.work > 0:
         return
-    for name, (slots, misses, slow, run, work) in learned.get("shapes", {}).items():
+    for name, (slots, failed_slot_trials, slowdown, run, work) in learned.get("shapes", {}).items():
         shape = module.shapes.get(name)
         if shape is not None:
             if slots:
                 module.set_slots(shape, slots)
-            shape.misses, shape.slow, shape.pace.run, shape.pace.work = int(misses), slow, run, work
-    for name, (slow, run, work, fault) in learned.get("workers", {}).items():
+            shape.failed_slot_trials, shape.slowdown, shape.run_ratio.run, shape.run_ratio.work = (
+                int(failed_slot_trials),
+                slowdown,
+                run,
+                work,
+            )
+    for name, (slowdown, run, work, failure_rate) in learned.get("workers", {}).items():
         worker = module.workers.get(name)
         if worker is not None:
-            worker.fault, worker.fault_at = fault, module.now
-            worker.slow, worker.slow_at, worker.pace.run, worker.pace.work = slow, module.now, run, work
+            worker.failure_rate, worker.failure_rate_at = failure_rate, module.now
+            worker.slowdown, worker.slowdown_at, worker.run_ratio.run, worker.run_ratio.work = (
+                slowdown,
+                module.now,
+                run,
+                work,
+            )
     for mean, run, work in learned.get("fleet", {}).values():
-        module.run_mean, module.pace.run, module.pace.work = mean, run, work
-        module.slow_mean = run / max(work, 1.0)
+        module.mean_run_ms, module.run_ratio.run, module.run_ratio.work = mean, run, work
+        module.mean_slowdown = run / max(work, 1.0)
 
 
-def check(data: Any) -> Learned:
+def parse(data: Any) -> Learned:
     """Check and convert what another process has sent as learned.
 
     Raises `ValueError`, `KeyError`, `TypeError` or `AttributeError` if it is malformed.
--- a/eiderpin/core/moves.py
+++ b/eiderpin/core/moves.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Moved:
+class TransferredRequest:
     """A request in transfer.
 
     Times are in ms from now, or ago, because the clocks of the two processes may differ.
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Waits:
+class WaitingClient:
     """A client that waits for a durable job, in transfer to the next owner of the ledger."""
 
     cls: str
@@ -49,23 +49,23 @@
     idempotency_key: str | None = None
 
 
-def let_durable_go(core: Dispatcher, request: Request) -> list[tuple[Waits, ResponseSink]]:
+def transfer_durable_request(core: Dispatcher, request: Request) -> list[tuple[WaitingClient, ResponseSink]]:
     """Drop a durable request here, since the ledger holds all that its next owner needs.
 
     Returns the clients that wait for it.
     """
     now = core.clock.now()
-    client = Waits(
+    client = WaitingClient(
         request.cls, request.unique, request.target.decode("latin-1"), request.body.decode("latin-1"),
         request.deadline - now, request.idempotency_key,
     )  # fmt: skip
     waiters = list(request.waiters)
     core.hand_off(request)
-    core.tell(api.RequestGone(request.id))
+    core.add_event(api.RequestGone(request.id))
     return [(client, waiter) for waiter in waiters]
 
 
-def asked_by(core: Dispatcher, client: Waits) -> Request:
+def rebuild_request(core: Dispatcher, client: WaitingClient) -> Request:
     """Return the request by which a waiting client resubmits its job to the ledger's next owner.
 
     Raises `ValueError` if its class is unknown here or the job has no name.
@@ -78,7 +78,7 @@
     )  # fmt: skip
 
 
-def hand_out(core: Dispatcher, request: Request) -> Moved | None:
+def transfer_request(core: Dispatcher, request: Request) -> TransferredRequest | None:
     """Take a request out of this process and its decision module, without cancelling anything.
 
     Returns None if the request has to stay: a request that has ended, a background job, one whose client can
@@ -86,20 +86,23 @@
     """
     core.decide()  # events that are queued for the request must not be lost
     running = [attempt for attempt in request.attempts if not attempt.ended]
-    if request.ended or request.background or not request.once or request.job:
+    if request.ended or request.background or not request.single_use_id or request.job:
         return None  # a durable job is transferred with the ledger
-    if not all(attempt.entry.link.may_move(attempt) for attempt in running):
+    if not all(attempt.endpoint.link.may_transfer(attempt) for attempt in running):
         return None
-    standing = core.module.hand_out(request.id, core.clock.now())
+    standing = core.module.transfer_request(request.id, core.clock.now())
     if standing is None:
         return None
     now = core.clock.now()
-    moved = Moved(
+    moved = TransferredRequest(
         request.cls, request.unique, request.target.decode("latin-1"), request.body.decode("latin-1"),
         request.deadline - now, request.slots, request.memory, request.tenant, request.key, request.hint,
         request.client_retry, request.priority, request.wire_id, request.share,
         [
-            [attempt.entry.name, now - attempt.made_at, attempt.timeout, attempt.may_have_run, attempt.ended]
+            [
+                attempt.endpoint.name, now - attempt.made_at, attempt.timeout, attempt.may_have_run,
+                attempt.ended,
+            ]
             for attempt in request.attempts
         ],
         asdict(standing), request.idempotency_key,
@@ -108,13 +111,13 @@
     return moved
 
 
-def adopt(core: Dispatcher, moved: Moved, waiter: ResponseSink) -> Request:
+def adopt(core: Dispatcher, moved: TransferredRequest, waiter: ResponseSink) -> Request:
     """Accept a request in the state that another process had it in; `waiter` is given its answer.
 
     Raises `ValueError` if this process cannot continue it.
     """
     now = core.clock.now()
-    if moved.cls not in core.classes or any(attempt[0] not in core.entries for attempt in moved.attempts):
+    if moved.cls not in core.classes or any(attempt[0] not in core.endpoints for attempt in moved.attempts):
         raise ValueError("the request's class or one of its workers is unknown in this process")
     standing = api.Standing(**moved.standing)
     if not all(0 <= number < len(moved.attempts) for number, _, _ in standing.out):
@@ -122,17 +125,17 @@
     request = Request(
         moved.cls, moved.unique, moved.target.encode("latin-1"), moved.body.encode("latin-1"),
         now + moved.left, moved.slots, moved.memory, moved.tenant, moved.key, moved.hint,
-        moved.client_retry, moved.priority, once=True, wire_id=moved.wire_id, share=moved.share,
+        moved.client_retry, moved.priority, single_use_id=True, wire_id=moved.wire_id, share=moved.share,
         idempotency_key=moved.idempotency_key,
     )  # fmt: skip
     for number, (name, age, timeout, may_have_run, ended) in enumerate(moved.attempts):
-        entry = core.entries[name]
+        endpoint = core.endpoints[name]
         request.attempts.append(
-            Attempt(request, number, entry, now - age, timeout, True, may_have_run, ended)
+            Attempt(request, number, endpoint, now - age, timeout, True, may_have_run, ended)
         )
     try:
         core.take_over(request, waiter)
     except TableFull:
         raise ValueError("there is no room") from None
-    core.tell(api.Adopted(core.decision_request(request), standing))
+    core.add_event(api.Adopted(core.decision_request(request), standing))
     return request
--- a/eiderpin/core/request_log.py
+++ b/eiderpin/core/request_log.py
@@ -55,13 +55,13 @@
     return {
         **request_fields(attempt.request),
         "attempt": attempt.number,
-        "worker": attempt.entry.name,
+        "worker": attempt.endpoint.name,
     }
 
 
 def attempts_summary(request: Request) -> str:
     """Return all attempts of a request as `worker:state`, in the order of their numbers."""
-    return ",".join(f"{a.entry.name}:{state_of(a).value}" for a in request.attempts) or "none"
+    return ",".join(f"{a.endpoint.name}:{state_of(a).value}" for a in request.attempts) or "none"
 
 
 def attempt_event(text: str, attempt: Attempt, **fields: Any) -> None:
--- a/eiderpin/core/requests.py
+++ b/eiderpin/core/requests.py
@@ -14,7 +14,7 @@
     """What a final answer says; the values name the counters of answers."""
 
     SERVED = "succeeded"
-    TURNED_DOWN = "declined"
+    REJECTED = "declined"
     FAILED = "aborted"
 
 
@@ -41,7 +41,7 @@
         """Tell the client that `share` (0 to 1) of the request is done, if its protocol can express that."""
         ...
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None:
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None:
         """Pass the client partial data, or a warning, if its protocol can express that."""
         ...
 
@@ -71,7 +71,7 @@
     priority: int = 0
     background: bool = False  # continues even if nobody waits
     abandoned: bool = False  # all clients have left; running attempts continue, but no further one starts
-    once: bool = False  # the id belongs to this request only: a second request with it is refused
+    single_use_id: bool = False  # the id belongs to this request only: a second request with it is refused
     id: int = -1  # in the table of requests; -1: not in it
     job: int = 0  # number of the durable job in the ledger; 0: not durable
     backstop: Deadline | None = None  # answers the request if nothing else has by its deadline
@@ -91,7 +91,7 @@
     @property
     def is_resubmittable(self) -> bool:
         """Whether a resubmission by the same id joins this job, or gets its retained answer."""
-        return bool(self.unique) and not self.once
+        return bool(self.unique) and not self.single_use_id
 
     @property
     def may_start_attempt(self) -> bool:
@@ -114,21 +114,21 @@
         """Stop an attempt as far as the protocol allows."""
         ...
 
-    def probe(self, entry: ServiceEntry) -> None:
+    def probe(self, endpoint: Endpoint) -> None:
         """Probe a worker; the result is reported through `Dispatcher.probed`."""
         ...
 
-    def entry_changed(self, entry: ServiceEntry) -> None:
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
         """React to a change of a worker's state or address."""
         ...
 
-    def may_move(self, attempt: Attempt) -> bool:
+    def may_transfer(self, attempt: Attempt) -> bool:
         """Return whether an attempt can continue, and its end be reported, without its present connection."""
         ...
 
 
 @dataclass(slots=True, eq=False)
-class ServiceEntry:
+class Endpoint:
     """A worker as this dispatcher reaches it."""
 
     listed: WorkerEntry
@@ -166,7 +166,7 @@
 
     request: Request
     number: int  # 0 for the first attempt of a request
-    entry: ServiceEntry
+    endpoint: Endpoint
     made_at: float  # ms on the dispatcher's clock
     timeout: float  # ms after which the dispatcher stops waiting for it
     accepted: bool = False  # the worker has confirmed that it has the job
--- a/eiderpin/core/wall_clock.py
+++ b/eiderpin/core/wall_clock.py
@@ -44,7 +44,7 @@
         now = clock.now()
         self.offsets = [Offset(0.0, now, now)]  # oldest first; the clock starts at the wall clock's time
 
-    def look(self) -> None:
+    def sample(self) -> None:
         """Record the present offset. To be called every few seconds."""
         for _ in range(MAX_SAMPLE_TRIES):
             before = self._clock.now()
@@ -62,9 +62,9 @@
         else:
             self.offsets = [*self.offsets[1 - MAX_OFFSETS :], Offset(value, now, now)]
 
-    def steady(self, wall: float) -> float:
+    def to_steady(self, wall: float) -> float:
         """Return when, on the steady clock, the wall clock showed this time; now if no offset fits."""
-        self.look()
+        self.sample()
         now = self._clock.now()
         fitting = [
             wall - offset.value
--- a/eiderpin/shutdown.py
+++ b/eiderpin/shutdown.py
@@ -14,7 +14,7 @@
 from eiderpin import logs
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.core.shutdown import ShutdownSchedule
-from eiderpin.net.edge import Edge
+from eiderpin.net.edge import HttpFront
 from eiderpin.net.workers import HttpWorkers
 
 if TYPE_CHECKING:
@@ -22,9 +22,11 @@
     from eiderpin.net.gearman_front import GearmanFront
     from eiderpin.net.handover import Handover
 
-LINGER = 600.0  # after SIGTERM new connections may still arrive for this long
+LINGER_MS = 600.0  # after SIGTERM new connections may still arrive for this long
 PARTIAL_REQUEST_WAIT_MS = 3000.0  # after SIGTERM partially received requests are waited for this long
-CLOSING_FOR = 1000.0  # at the very end, remaining clients are given this long to see that the process closes
+CLOSING_NOTICE_MS = (
+    1000.0  # at the very end, remaining clients are given this long to see that the process closes
+)
 SUCCESSOR_WAIT_MS = 3000.0  # after SIGTERM a successor that is not yet able to serve is waited for this long
 HANDOVER_DELAY_MS = 1000.0  # after SIGTERM jobs may end here for this long, before a successor takes them
 
@@ -35,12 +37,12 @@
     def __init__(
         self,
         core: Dispatcher,
-        edge: Edge,
+        http_front: HttpFront,
         gearman: GearmanFront | None,
         workers: HttpWorkers,
         ledger: Ownership | None,
     ) -> None:
-        self.core, self.edge, self.gearman, self.workers = core, edge, gearman, workers
+        self.core, self.http_front, self.gearman, self.workers = core, http_front, gearman, workers
         self.ledger = ledger
         self.handover: Handover | None = None  # set where an old and a new process can run side by side
         self.schedule: ShutdownSchedule | None = None  # set from SIGTERM on
@@ -83,7 +85,7 @@
         return {
             "outstanding": self.core.outstanding,
             "attempts": sum(not attempt.ended for attempt in attempts),
-            "clients": len(self.edge.connections),
+            "clients": len(self.http_front.connections),
             "server_connections": len(self.workers.open),
         }
 
@@ -96,7 +98,7 @@
         assert self.schedule is not None
         self.core.limit_deadlines(self.schedule.answers_by)
         self.core.decide()
-        answered = self.edge.answer_all()
+        answered = self.http_front.answer_all()
         if self.gearman is not None:
             answered += self.gearman.answer_all()
         logs.event("all is answered or given up", logging.INFO, by_fronts=answered, **self._open_counts())
@@ -108,7 +110,7 @@
 
         Once nothing is open, this closes the remaining client connections.
         """
-        if not self._may_exit_once_answered() or (self.ledger is not None and not self.ledger.quiet()):
+        if not self._may_exit_once_answered() or (self.ledger is not None and not self.ledger.is_idle()):
             return False
         if self._has_open_work():
             self._resume_listening()
@@ -116,22 +118,22 @@
         now = self.core.clock.now()
         if self._closing_since is None:
             self._closing_since = now
-        return self.edge.part(self._is_past_answer_time()) or now > self._closing_notice_ends_at(
-            self._closing_since
-        )
+        return self.http_front.close_remaining(
+            self._is_past_answer_time()
+        ) or now > self._closing_notice_ends_at(self._closing_since)
 
     def _may_exit_once_answered(self) -> bool:
         """Return whether the process may exit once all requests are answered."""
-        now, newer = self.core.clock.now(), self.handover.newer if self.handover is not None else None
-        if newer is not None and newer.given:
+        now, successor = self.core.clock.now(), self.handover.successor if self.handover is not None else None
+        if successor is not None and successor.pending_transfers:
             return False  # requests in transfer to the successor, which it may still refuse
-        if self.handed_over_at is not None and not len(self.edge.connections):
-            return now > self.handed_over_at + LINGER
+        if self.handed_over_at is not None and not len(self.http_front.connections):
+            return now > self.handed_over_at + LINGER_MS
         schedule = self.schedule
-        if schedule is None or now < min(schedule.begun_at + LINGER, schedule.answers_by):
+        if schedule is None or now < min(schedule.begun_at + LINGER_MS, schedule.answers_by):
             return False
         wait = min(schedule.begun_at + SUCCESSOR_WAIT_MS, schedule.exits_by)
-        return newer is None or newer.serving or now > wait
+        return successor is None or successor.serving or now > wait
 
     def _has_open_work(self) -> bool:
         """Return whether requests or bytes are outstanding for which the process has to stay."""
@@ -142,7 +144,7 @@
         waits_for_partial = schedule is not None and now < min(
             schedule.begun_at + PARTIAL_REQUEST_WAIT_MS, schedule.answers_by
         )
-        if not self.edge.quiet(waits_for_partial):
+        if not self.http_front.is_idle(waits_for_partial):
             return True
         return self.gearman is not None and any(
             client.conn.unsent for client in self.gearman.connections.all()
@@ -160,11 +162,11 @@
         if self._closing_since is None or self.handed_over_at is not None or self._is_past_answer_time():
             return
         self._closing_since = None
-        self.edge.listener.start()
+        self.http_front.listener.start()
 
     def _closing_notice_ends_at(self, since: float) -> float:
         """Return until when remaining clients are given time to see that the process closes."""
-        until = since + CLOSING_FOR
+        until = since + CLOSING_NOTICE_MS
         if self.schedule is None or since >= self.schedule.exits_by:
             return until
         return min(until, self.schedule.exits_by)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,14 +14,14 @@
 from eiderpin.core import invariants
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Clock, Deadlines
-from eiderpin.core.requests import Answer, Attempt, Request, ServiceEntry, Verdict
+from eiderpin.core.requests import Answer, Attempt, Endpoint, Request, Verdict
 from eiderpin.core.slot_table import SlotTable, TableFull
-from eiderpin.decide import SLOTS_GUESS
+from eiderpin.decide import DEFAULT_SLOTS
 from eiderpin.decide import Dispatcher as Module
 from eiderpin.net.loop import Connection, Loop
 
 
-class HandClock(Clock):
+class ManualClock(Clock):
     """A clock that stands still until the test sets it."""
 
     def __init__(self) -> None:
@@ -47,9 +47,9 @@
     def cancel(self, attempt: Attempt) -> None:
         self.cancelled.append(attempt)
 
-    def probe(self, entry: ServiceEntry) -> None: ...
+    def probe(self, endpoint: Endpoint) -> None: ...
 
-    def entry_changed(self, entry: ServiceEntry) -> None: ...
+    def endpoint_changed(self, endpoint: Endpoint) -> None: ...
 
 
 class Client:
@@ -63,7 +63,7 @@
 
     def progress(self, request: Request, share: float) -> None: ...
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None: ...
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None: ...
 
     def has_left(self) -> bool:
         return False
@@ -77,7 +77,7 @@
     """The dispatcher with two workers, a clock in the test's hands and links that only record."""
 
     def setUp(self) -> None:
-        self.clock, self.deadlines, self.counters = HandClock(), Deadlines(), Counters()
+        self.clock, self.deadlines, self.counters = ManualClock(), Deadlines(), Counters()
         classes = [
             api.RequestClass("look", aim=2000, deadline=7000, repeat=api.Repeat.FREE),
             api.RequestClass("post", aim=2000, deadline=7000),
@@ -93,10 +93,10 @@
     def list(self, *workers: api.WorkerEntry, link: Link | None = None) -> None:
         """Report a complete list of these workers."""
         kind = api.ListKind.COMPLETE
-        self.core.list_told(link or self.link, kind, [(worker, worker.name) for worker in workers])
+        self.core.apply_worker_list(link or self.link, kind, [(worker, worker.name) for worker in workers])
         self.core.decide()
 
-    def pass_time(self, ms: float) -> None:
+    def advance_clock(self, ms: float) -> None:
         """Advance the clock, running the deadlines and decisions that become due."""
         until = self.clock.at + ms
         while self.deadlines.next_at() <= until:
@@ -128,23 +128,23 @@
         """A worker may begin to drain between the decision and the write; an attempt that is written after
         the grace would be refused."""
         self.submit("look", "a")
-        self.pass_time(100)
+        self.advance_clock(100)
         (sent,) = self.link.sent
-        gone = worker_entry(sent.entry.name, api.WorkerState.DRAINING)
+        gone = worker_entry(sent.endpoint.name, api.WorkerState.DRAINING)
         self.list(gone, worker_entry("w3"))
         # Of the 500 ms of grace 200 go unused, since the process may stall for 150 before the write.
         for after, may in ((0, True), (290, True), (20, False), (150, False), (100, False)):
-            self.pass_time(after)
+            self.advance_clock(after)
             self.assertIs(self.core.may_begin(sent), may)
 
     def test_results_are_retained_up_to_a_time_and_a_number(self) -> None:
         """A resubmission gets the retained result, but without limits the results would use up the memory."""
         self.submit("post", "a")
-        self.pass_time(100)
+        self.advance_clock(100)
         self.core.ended(self.link.sent[0], api.Outcome.DONE, b"ranked")
         self.assertEqual(self.submit("post", "a")[1].answers, [Answer(Verdict.SERVED, b"ranked")])
         self.assertEqual(self.submit("look", "a")[1].answers, [])  # another class, another job
-        self.pass_time(core.RETENTION_MS + 1)
+        self.advance_clock(core.RETENTION_MS + 1)
         self.assertEqual(self.submit("post", "a")[1].answers, [])
         for number in range(core.MAX_RETAINED_ANSWERS + 10):
             request = Request("look", f"n{number}", b"/", b"", 0.0)
@@ -159,19 +159,19 @@
             with self.subTest(outcome=outcome):
                 name, before = f"p-{outcome.value}", len(self.link.sent)
                 _, client = self.submit("post", name)
-                self.pass_time(100)
+                self.advance_clock(100)
                 sent = self.link.sent[before]
                 self.core.written(sent)
                 self.list()  # no worker is left to send it to
                 self.core.ended(sent, outcome)
                 self.core.decide()
-                self.pass_time(5000)
-                verdict = Verdict.TURNED_DOWN if again else Verdict.FAILED
+                self.advance_clock(5000)
+                verdict = Verdict.REJECTED if again else Verdict.FAILED
                 self.assertEqual([answer.verdict for answer in client.answers], [verdict])
                 self.list(worker_entry("w1"), worker_entry("w2"))
-                self.pass_time(20_000)  # past the ejection of the worker that failed
+                self.advance_clock(20_000)  # past the ejection of the worker that failed
                 self.submit("post", name)
-                self.pass_time(100)
+                self.advance_clock(100)
                 self.assertEqual(len(self.link.sent), before + 1 + again)
                 self.core.ended(self.link.sent[-1], api.Outcome.DONE)
                 self.core.decide()
@@ -180,9 +180,9 @@
         """A resubmission may have an earlier deadline than the request that it joins; without one of its own
         it would be answered too late."""
         _, first = self.submit("post", "a", 5000)
-        self.pass_time(100)
+        self.advance_clock(100)
         _, joined = self.submit("post", "a", 300)
-        self.pass_time(300)
+        self.advance_clock(300)
         self.assertEqual([answer.verdict for answer in joined.answers], [Verdict.FAILED])
         self.assertEqual(first.answers, [])
         self.core.ended(self.link.sent[0], api.Outcome.DONE, b"r")
@@ -192,10 +192,10 @@
         """A worker's result may arrive after its connection was reset; it answers the request, and the
         attempt that was sent instead is cancelled."""
         request, client = self.submit("look", "a")
-        self.pass_time(100)
+        self.advance_clock(100)
         self.core.ended(self.link.sent[0], api.Outcome.RESET)
         self.core.decide()
-        self.pass_time(100)
+        self.advance_clock(100)
         self.core.late_result(request, b"there after all")
         self.core.decide()
         self.assertEqual(client.answers, [Answer(Verdict.SERVED, b"there after all")])
@@ -206,9 +206,9 @@
         """No worker answers here. A request must neither stay unanswered, nor be answered twice, nor leave an
         entry in a table."""
         clients = [self.submit(("look", "post")[i % 2], f"u{i}", 900)[1] for i in range(40)]
-        self.pass_time(899)
+        self.advance_clock(899)
         self.assertEqual({len(client.answers) for client in clients}, {1})
-        self.pass_time(30_000)
+        self.advance_clock(30_000)
         self.assertEqual(
             (len(self.core.requests), len(self.core._by_wire_id), len(self.deadlines)), (0, 0, 0)
         )
@@ -217,9 +217,9 @@
         """A complete list says nothing of workers that other sources have reported, such as those that
         connect to the Gearman front."""
         other = Link()
-        self.core.list_told(other, api.ListKind.CHANGES, [(worker_entry("g1"), None)])
+        self.core.apply_worker_list(other, api.ListKind.CHANGES, [(worker_entry("g1"), None)])
         self.list(worker_entry("w2"))
-        states = {name: entry.listed.state.value for name, entry in self.core.entries.items()}
+        states = {name: endpoint.listed.state.value for name, endpoint in self.core.endpoints.items()}
         self.assertEqual(states, {"w1": "gone", "w2": "in_service", "g1": "in_service"})
         self.assertTrue(self.core.module.workers["g1"].ready)
 
@@ -297,7 +297,7 @@
                     now += 300
                     for sent in self.sends(module, now, requests):
                         running += 1
-                        late = not prompt and running > SLOTS_GUESS
+                        late = not prompt and running > DEFAULT_SLOTS
                         now += 400 if late else 201
                         if late:  # it waited until another job ended
                             done = api.AttemptEnded(ends, 0, "w1", api.Outcome.DONE, 900.0, True)
@@ -307,9 +307,9 @@
                         now += 150
                         module.handle(now, [api.Progress(sent.request, 0, "w1", False, 0.9)])
                 slots = module.slots(module.workers["w1"])
-                self.assertEqual(slots > SLOTS_GUESS, prompt)
+                self.assertEqual(slots > DEFAULT_SLOTS, prompt)
                 self.assertLessEqual(running, slots + 1)
-                self.assertEqual(module.workers["w1"].shape.misses > 0, not prompt)
+                self.assertEqual(module.workers["w1"].shape.failed_slot_trials > 0, not prompt)
 
     def test_end_reported_after_the_start_that_it_allowed_does_not_raise_the_estimate(self) -> None:
         """When reports arrive in that order, one job more than there are slots seems to run for a moment."""
@@ -320,16 +320,16 @@
                 open_jobs.append(sent.request)
                 now += 250
                 module.handle(now, [api.Progress(sent.request, 0, "w1", True)])
-                if len(open_jobs) > SLOTS_GUESS:
+                if len(open_jobs) > DEFAULT_SLOTS:
                     ended = api.AttemptEnded(open_jobs.pop(0), 0, "w1", api.Outcome.DONE, 900.0, True)
                     module.handle(now + 20, [ended])
-        self.assertEqual(module.slots(module.workers["w1"]), SLOTS_GUESS)
+        self.assertEqual(module.slots(module.workers["w1"]), DEFAULT_SLOTS)
 
     def test_no_trials_where_workers_do_not_report_starts(self) -> None:
         """Without reports of starts it cannot be seen whether an additional job runs or waits."""
         module = self.module(tells_start=False)
         requests: list[api.Event] = [api.Request(i, "look", 9000.0, hint=100.0) for i in range(20)]
-        self.assertEqual(len(self.sends(module, 1000.0, requests)), SLOTS_GUESS)
+        self.assertEqual(len(self.sends(module, 1000.0, requests)), DEFAULT_SLOTS)
 
     def test_worker_stays_usable_although_other_dispatchers_are_not_seen(self) -> None:
         """The second dispatcher may be down: three of a worker's four slots can still be filled by this
@@ -387,7 +387,7 @@
             1000.0, [api.Membership(api.ListKind.COMPLETE, [worker_entry("w1"), worker_entry("w2")])]
         )
 
-    def pass_time(self, ms: float, *events: api.Event) -> list[api.Action]:
+    def advance_clock(self, ms: float, *events: api.Event) -> list[api.Action]:
         """Handle these events, advance the clock in steps of 50 ms, and return all actions."""
         actions = self.module.handle(self.now, events)
         for _ in range(int(ms // 50)):
@@ -397,18 +397,18 @@
 
     def send(self, number: int, cls: str) -> str:
         """Submit a request, whose attempt is sent at once, and return the name of its worker."""
-        actions = self.pass_time(50, api.Request(number, cls, 9000.0, hint=100.0))
+        actions = self.advance_clock(50, api.Request(number, cls, 9000.0, hint=100.0))
         (sent,) = [action for action in actions if isinstance(action, api.Send)]
         return sent.worker
 
     def test_repeatable_job_without_start_report_is_retried_elsewhere_and_its_worker_ejected(self) -> None:
         """The job would otherwise wait for its deadline, and further jobs would go to the same worker."""
         first = self.send(1, "look")
-        actions = self.pass_time(700)
+        actions = self.advance_clock(700)
         self.assertIn(api.Cancel(1, 0), actions)
         self.assertGreater(explain.worker(self.module, first)["rests_for"], 0)
         ended = api.AttemptEnded(1, 0, first, api.Outcome.CANCELLED, 600.0, False)
-        again = [action for action in self.pass_time(100, ended) if isinstance(action, api.Send)]
+        again = [action for action in self.advance_clock(100, ended) if isinstance(action, api.Send)]
         self.assertEqual([send.request for send in again], [1])
         self.assertNotEqual(again[0].worker, first)
 
@@ -418,20 +418,20 @@
         self.module.handle(self.now, [api.Membership(api.ListKind.COMPLETE, [worker_entry("w1")])])
         lost, number = self.send(1, "post"), 2
         self.send(2, "look")
-        self.pass_time(
+        self.advance_clock(
             650, api.Progress(2, 0, lost, True)
         )  # until then the first job may be waiting for a slot
-        self.pass_time(50, api.AttemptEnded(2, 0, lost, api.Outcome.DONE, 650.0, True))
+        self.advance_clock(50, api.AttemptEnded(2, 0, lost, api.Outcome.DONE, 650.0, True))
         while number < 30:
             number += 1
             worker = self.send(number, "look")
-            self.pass_time(50, api.Progress(number, 0, worker, True))
-            self.pass_time(100, api.AttemptEnded(number, 0, worker, api.Outcome.DONE, 200.0, True))
+            self.advance_clock(50, api.Progress(number, 0, worker, True))
+            self.advance_clock(100, api.AttemptEnded(number, 0, worker, api.Outcome.DONE, 200.0, True))
         facts = explain.worker(self.module, lost)
         self.assertEqual((facts["ours"], facts["rests_for"]), (0.0, 0.0))
         self.assertLess(facts["slowness"], 2.0)
         late = api.AttemptEnded(1, 0, lost, api.Outcome.DONE, 6000.0, True)  # it was only very late
-        self.pass_time(50, late)
+        self.advance_clock(50, late)
         self.assertEqual(explain.worker(self.module, lost)["ours"], 0.0)
 
     def test_worker_that_loses_jobs_of_one_class_still_gets_the_others(self) -> None:
@@ -440,19 +440,19 @@
         self.module.handle(self.now, [api.Membership(api.ListKind.COMPLETE, [worker_entry("w1")])])
         self.send(1, "post")
         self.send(2, "look")
-        self.pass_time(700, api.Progress(2, 0, "w1", True))
-        self.pass_time(50, api.AttemptEnded(2, 0, "w1", api.Outcome.DONE, 700.0, True))
-        actions = self.pass_time(150, api.Request(3, "post", 9000.0, hint=100.0))
+        self.advance_clock(700, api.Progress(2, 0, "w1", True))
+        self.advance_clock(50, api.AttemptEnded(2, 0, "w1", api.Outcome.DONE, 700.0, True))
+        actions = self.advance_clock(150, api.Request(3, "post", 9000.0, hint=100.0))
         self.assertEqual([action for action in actions if isinstance(action, api.Send)], [])
         self.assertEqual(self.send(4, "look"), "w1")
-        actions = self.pass_time(100, api.Progress(1, 0, "w1", True))  # it was only late
+        actions = self.advance_clock(100, api.Progress(1, 0, "w1", True))  # it was only late
         self.assertEqual([action.request for action in actions if isinstance(action, api.Send)], [3])
 
     def test_attempt_with_a_start_report_is_not_cancelled(self) -> None:
         """A long run must not be mistaken for a lost attempt."""
         worker = self.send(1, "look")
-        self.pass_time(50, api.Progress(1, 0, worker, True))
-        self.assertEqual([action for action in self.pass_time(700) if isinstance(action, api.Cancel)], [])
+        self.advance_clock(50, api.Progress(1, 0, worker, True))
+        self.assertEqual([action for action in self.advance_clock(700) if isinstance(action, api.Cancel)], [])
 
 
 class InaccurateHints(unittest.TestCase):
@@ -473,7 +473,7 @@
             now += run
             module.handle(now, [api.AttemptEnded(number, 0, "w1", api.Outcome.DONE, run, True)])
             if number > 20:
-                self.assertTrue(0.6 < module.slow_mean < 1.5 and 0.6 < module.shapes["m"].slow < 1.5)
+                self.assertTrue(0.6 < module.mean_slowdown < 1.5 and 0.6 < module.shapes["m"].slowdown < 1.5)
                 self.assertTrue(0.3 < module.slowness(module.workers["w1"]) < 2.5)
 
 
@@ -492,7 +492,7 @@
         for _, theirs in pairs:
             theirs.sendall(b"x")
         while not received:
-            loop.once(lambda: None, 1000.0)
+            loop.run_once(lambda: None, 1000.0)
         self.assertEqual((received, sum(end.closed for end in ends)), ([b"x"], 1))
         for end, (_, theirs) in zip(ends, pairs, strict=True):
             end.close()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -16,7 +16,7 @@
 from eiderpin.core import wall_clock
 from eiderpin.core.wall_clock import WallClock
 from eiderpin.net.discovery import Entries
-from tests.crossing import HandClock, Stage, staged
+from tests.crossing import Harness, ManualClock, running_harness
 from tests.standins import HttpWorker, http_call, running
 
 STEPS_MS = (-3_600_000.0, -5000.0, -1000.0, 1000.0, 5000.0, 3_600_000.0)
@@ -28,7 +28,7 @@
     """A steady clock and a wall clock, both set by the test."""
 
     def __init__(self) -> None:
-        self.steady_clock = HandClock()
+        self.steady_clock = ManualClock()
         self.ahead_ms = 0.0
 
     def read(self) -> float:
@@ -37,7 +37,7 @@
 
 
 class WallClockTranslation(unittest.TestCase):
-    """`WallClock.steady` for the start of a worker, by when the clock stepped and when it was sampled."""
+    """`WallClock.to_steady` for the start of a worker, by when the clock stepped and when it was sampled."""
 
     def translated_age(
         self, step: float, started_ago: float, stepped_ago: float, sampled_ago: tuple[float, ...]
@@ -59,9 +59,9 @@
                 elif event == "step":
                     wall.ahead_ms += step
                 else:
-                    clock.look()
+                    clock.sample()
             wall.steady_clock.at = now
-            return now - clock.steady(started)
+            return now - clock.to_steady(started)
 
     def test_start_before_or_after_a_step(self) -> None:
         """A start on one side of a step, translated by the offset of the other side, would make a cold worker
@@ -105,21 +105,23 @@
 
         with mock.patch.object(wall_clock, "read_wall", read_slowly):
             clock = WallClock(wall.steady_clock)
-            clock.look()
+            clock.sample()
             self.assertEqual([offset.value for offset in clock.offsets], [0.0])
 
 
 class ColdWorkers(unittest.TestCase):
     """A worker that starts after a step is cold for as long as the settings say, in real time."""
 
-    def list_worker(self, stage: Stage, name: str, started: float) -> None:
+    def list_worker(self, harness: Harness, name: str, started: float) -> None:
         """Have discovery list a worker that started at this wall-clock time."""
-        source = stage.service.discovery
+        source = harness.service.discovery
         assert source is not None
         entry = api.WorkerEntry(name, "", "m", 0, api.WorkerState.IN_SERVICE, 1.0, started)
         entries: Entries = [(entry, ("127.0.0.1", 9))]
-        stage.core.list_told(source.link, api.ListKind.CHANGES, source.on_our_clock(entries))
-        stage.core.decide()
+        harness.core.apply_worker_list(
+            source.link, api.ListKind.CHANGES, source.with_local_start_times(entries)
+        )
+        harness.core.decide()
 
     def test_worker_that_starts_after_a_step_is_cold_for_its_real_warm_up(self) -> None:
         """Without the translation, a step of the clock would lengthen the warm-up or skip it, and a second
@@ -127,18 +129,18 @@
         for step in STEPS_MS:
             with (
                 self.subTest(step=step),
-                staged(discovery="127.0.0.1:9", settings={"rules": COLD_START_RULES}) as stage,
+                running_harness(discovery="127.0.0.1:9", settings={"rules": COLD_START_RULES}) as harness,
             ):
-                stage.pass_time(20_000)
-                stage.wall_ahead += step
-                stage.pass_time(20_000)
-                started = stage.clock.at - 2000
-                self.list_worker(stage, "w", started + stage.wall_ahead)
-                worker = stage.core.module.workers["w"]
+                harness.advance_clock(20_000)
+                harness.wall_clock_ahead_ms += step
+                harness.advance_clock(20_000)
+                started = harness.clock.at - 2000
+                self.list_worker(harness, "w", started + harness.wall_clock_ahead_ms)
+                worker = harness.core.module.workers["w"]
                 self.assertAlmostEqual(worker.cold_until, started + 10_000, delta=1)
                 # Listed again after another step, it is still the same process.
-                stage.wall_ahead += step
-                self.list_worker(stage, "w", started + stage.wall_ahead - step)
+                harness.wall_clock_ahead_ms += step
+                self.list_worker(harness, "w", started + harness.wall_clock_ahead_ms - step)
                 self.assertAlmostEqual(worker.cold_until, started + 10_000, delta=1)
 
 
