--- a/eiderpin/simhost.py
+++ b/eiderpin/simhost.py
@@ -28,13 +28,13 @@
         for group in groups:
             try:
                 name, events = group["i"], group["in"]
-                actions = self._group(now, name, events)
+                actions = self._handle_events(now, name, events)
             except api.SettingsError:
                 raise
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 if isinstance(error, wire.WireError) or error.__traceback__ is None:
                     raise
-                if _inside(error, "decide.py"):
+                if _passed_through(error, "decide.py"):
                     raise
                 text = f"a batch holds what is not legal: {type(error).__name__}: {error}"
                 raise wire.WireError(text) from error
@@ -42,7 +42,7 @@
                 replies.append((name, actions))
         return wire.reply(replies)
 
-    def _group(self, now: float, name: str, events: list[dict[str, Any]]) -> list[api.Action]:
+    def _handle_events(self, now: float, name: str, events: list[dict[str, Any]]) -> list[api.Action]:
         """Pass one instance's events to it and return its actions."""
         actions: list[api.Action] = []
         pending: list[api.Event] = []
@@ -72,7 +72,7 @@
         return actions
 
 
-def _inside(error: BaseException, file: str) -> bool:
+def _passed_through(error: BaseException, file: str) -> bool:
     """Return whether an error passed through this file: then the module is at fault, not its input."""
     trace = error.__traceback__
     while trace is not None:
--- a/tests/test_crash.py
+++ b/tests/test_crash.py
@@ -148,7 +148,7 @@
     ("lease and first byte", "HttpWorkers.send = die", 0, (500, b"failed\n")),
     ("last byte and 202", "after(Dispatcher, 'written')", 1, (200, b"ran a1")),
     ("result and its record", "JobManager.end = die", 1, (200, b"ran a1")),
-    ("record and answer", "Dispatcher._give = die", 1, (200, b"ran a1")),
+    ("record and answer", "Dispatcher._deliver = die", 1, (200, b"ran a1")),
 ]
 
 
