--- a/eiderpin/interface.py
+++ b/eiderpin/interface.py
@@ -129,9 +129,7 @@
     # what workers report
     reports_in_answers: bool = False
     reports_in_probes: bool = False
-    report_names: dict[str, str] = field(
-        default_factory=dict
-    )  # this site's names for the fields of a `Report`
+    report_names: dict[str, str] = field(default_factory=dict)  # names of the `Report` fields at this site
     tells_start: bool = False
     progress_every: float = 0.0
     starts_in_order: bool = False  # a worker starts its jobs in the order in which they arrived
--- a/eiderpin/shutdown.py
+++ b/eiderpin/shutdown.py
@@ -24,9 +24,7 @@
 
 LINGER_MS = 600.0  # after SIGTERM new connections may still arrive for this long
 PARTIAL_REQUEST_WAIT_MS = 3000.0  # after SIGTERM partially received requests are waited for this long
-CLOSING_NOTICE_MS = (
-    1000.0  # at the very end, remaining clients are given this long to see that the process closes
-)
+CLOSING_NOTICE_MS = 1000.0  # at the very end, remaining clients can see the close for this long
 SUCCESSOR_WAIT_MS = 3000.0  # after SIGTERM a successor that is not yet able to serve is waited for this long
 HANDOVER_DELAY_MS = 1000.0  # after SIGTERM jobs may end here for this long, before a successor takes them
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -418,9 +418,8 @@
         self.module.handle(self.now, [api.Membership(api.ListKind.COMPLETE, [worker_entry("w1")])])
         lost, number = self.send(1, "post"), 2
         self.send(2, "look")
-        self.advance_clock(
-            650, api.Progress(2, 0, lost, True)
-        )  # until then the first job may be waiting for a slot
+        # Until the second job starts, the first may be waiting for a slot.
+        self.advance_clock(650, api.Progress(2, 0, lost, True))
         self.advance_clock(50, api.AttemptEnded(2, 0, lost, api.Outcome.DONE, 650.0, True))
         while number < 30:
             number += 1
@@ -435,8 +434,8 @@
         self.assertEqual(explain.worker(self.module, lost)["ours"], 0.0)
 
     def test_worker_that_loses_jobs_of_one_class_still_gets_the_others(self) -> None:
-        """A single-shot job without a start report must not hold up jobs of other classes; those of its own
-        class are sent again once the start is reported after all."""
+        """A single-shot job without a start report must not hold up jobs of other classes. Those of its own
+        class wait until its start is reported after all."""
         self.module.handle(self.now, [api.Membership(api.ListKind.COMPLETE, [worker_entry("w1")])])
         self.send(1, "post")
         self.send(2, "look")
