--- a/eiderpin/net/edge.py
+++ b/eiderpin/net/edge.py
@@ -1,4 +1,7 @@
-"""The platform's front: edge connections, `/_health` and the workers' call-backs. It decides nothing."""
+"""The HTTP front end: client connections, `/_health` and the workers' call-backs.
+
+It passes requests to the dispatcher and answers back to the clients; it takes no scheduling decisions.
+"""
 
 from __future__ import annotations
 
@@ -16,229 +19,248 @@
 from eiderpin.core.slot_table import SlotTable
 from eiderpin.net import arrival, http
 from eiderpin.net.loop import READ, Connection, Listener, Loop
-from eiderpin.net.room import Room, Spare
-
-SWEEP = 5000.0  # ms between looks for edge connections that have stood too long
-IDLE_LIMIT = 120_000.0  # ms
-UNREAD_LIMIT = 15_000.0  # ms in which a client must take something of its answer
-WHOLE_LIMIT = 2850.0  # ms, from the connection or a request's first byte, in which it must have come whole:
-# slow clients take over 2 s, and who never ends one is owed an error within 3 s
+from eiderpin.net.room import EvictionQueues, EvictionTier
+
+SWEEP_INTERVAL_MS = 5000.0  # between checks for connections that have been idle or unread for too long
+IDLE_TIMEOUT_MS = 120_000.0  # for a connection without a request
+UNREAD_ANSWER_TIMEOUT_MS = 15_000.0  # for a client that reads nothing of its answer
+# For receiving a request completely, counted from the connection or from the request's first byte. Slow
+# clients take over 2 s, and a client that never completes its request must get an error within 3 s.
+REQUEST_TIMEOUT_MS = 2850.0
 NO_REQUEST = Request("", "", b"", b"", 0.0)
-MOST_WAITING = 8  # requests sent ahead on one edge connection
-MOST_DEADLINE = 600_000.0  # ms
-# An id goes on to workers in a header and in the target of a cancel.
+MAX_PIPELINED_REQUESTS = 8  # on one connection
+MAX_DEADLINE_MS = 600_000.0
+# An id is passed on to workers in a header and in the target of a cancel.
 REQ_ID = re.compile(r"[A-Za-z0-9._~:@+=-]{1,128}")
-WHOLE = re.compile(r"[0-9]{1,12}")
-AWAY_EVERY = 200.0  # ms between looks for idle clients while they are sent away
-ON_ITS_WAY = 500.0  # ms in which the first request of a new connection must begin while clients are sent away
-HALF_SENT = 1400.0  # ms from the first such look, after which a request still half sent is turned down
-DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
+WHOLE_NUMBER = re.compile(r"[0-9]{1,12}")
+DRAIN_INTERVAL_MS = 200.0  # between checks for idle connections while clients are drained
+FIRST_REQUEST_GRACE_MS = 500.0  # for the first request of a new connection to begin while clients are drained
+# For a request to be received completely while clients are drained, counted from the first check for idle
+# connections; after that it is rejected.
+PARTIAL_REQUEST_GRACE_MS = 1400.0
+DECIMAL_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
 class Away(IntEnum):
-    """Whom the edge sends away: their answers carry `Connection: close`, and idle they are closed."""
+    """Which connections are drained: their answers carry `Connection: close`, and idle ones are closed."""
 
     NOBODY = 0
     CLIENTS = 1
-    ALL = 2  # those who bring call-backs, too
+    ALL = 2  # also those that carry workers' call-backs
 
 
 class EdgeConnection:
-    """The client's side of one connection; also workers call back over such a one."""
+    """A connection to the HTTP front end, of a client or of a worker that sends call-backs."""
 
     __slots__ = (
-        "front", "conn", "reader", "waiting", "request", "last", "number", "keep", "busy", "served", "limit",
-        "held", "worked", "calls_back", "spare",
+        "front", "conn", "reader", "pipelined", "request", "last_activity", "number", "keep_alive", "busy",
+        "answered", "request_timeout", "held_bytes", "carried_work", "last_was_call_back", "eviction_tier",
     )  # fmt: skip
 
     def __init__(self, front: Edge, conn: Connection) -> None:
         self.front = front
         self.conn = conn
         self.number = -1
-        self.served = False  # it has had an answer: now and then it stands between requests
-        self.worked = False  # it has brought a job or a call-back, and may bring more
-        self.calls_back = False  # the last that it brought was a call-back
+        self.answered = False  # it has had an answer, so it may be idle between requests
+        self.carried_work = False  # it has carried a job or a call-back, and may carry more
+        self.last_was_call_back = False  # rather than a job
         self.reader = http.RequestReader()
-        self.waiting: deque[http.Message] = deque()
+        self.pipelined: deque[http.Message] = deque()  # requests that wait for the answer of the one before
         self.request: Request | None = None
         self.busy = False  # a request is being served
-        self.keep = True
-        self.last = front.loop.clock.now()
-        self.held = 0  # bytes of requests that wait here
-        # One deadline, from the connection or a request's first byte: no trickle puts it off.
-        self.limit: Deadline | None = None
-        self.set_limit()
-        conn.on_data, conn.on_end, conn.on_closed = self.data, self.end, self.closed
-        self.spare: Spare | None = None
-        conn.on_flushed = self.file
-        self.file()
-
-    def file(self) -> None:
-        """Note whether it may be closed to make room, and how soon."""
-        spare: Spare | None = None
-        if self.conn.closed or self.busy or self.waiting:
-            spare = None
+        self.keep_alive = True
+        self.last_activity = front.loop.clock.now()
+        self.held_bytes = 0  # of requests, received here and not answered yet
+        # It is not extended as parts of a request are received, so that a client cannot hold a connection by
+        # sending slowly.
+        self.request_timeout: Deadline | None = None
+        self.start_request_timeout()
+        conn.on_data, conn.on_end, conn.on_closed = self.handle_data, self.handle_eof, self.handle_close
+        self.eviction_tier: EvictionTier | None = None
+        conn.on_flushed = self.update_eviction_tier
+        self.update_eviction_tier()
+
+    def update_eviction_tier(self) -> None:
+        """Record whether this connection may be closed to make room, and how early."""
+        tier: EvictionTier | None = None
+        if self.conn.closed or self.busy or self.pipelined:
+            tier = None
         elif self.conn.closing:
-            spare = Spare.REFUSED
+            tier = EvictionTier.REJECTED
         elif not self.conn.unsent:
             if not self.reader.idle:
-                spare = Spare.HALF
-            elif self.worked:
-                spare = Spare.KEPT
+                tier = EvictionTier.PARTIAL
+            elif self.carried_work:
+                tier = EvictionTier.KEPT_ALIVE
             else:
-                spare = Spare.ASKED if self.served else Spare.SILENT
-        self.front.room.file(self, spare)
+                tier = EvictionTier.ANSWERED if self.answered else EvictionTier.SILENT
+        self.front.eviction_queues.move(self, tier)
 
     @property
     def idle(self) -> bool:
-        return not self.busy and not self.waiting and self.reader.idle and not self.conn.unsent
+        """Whether no request is being received or served, and no answer is being sent."""
+        return not self.busy and not self.pipelined and self.reader.idle and not self.conn.unsent
 
     @property
-    def sent_away(self) -> bool:
-        return self.front.away > (Away.CLIENTS if self.calls_back else Away.NOBODY)
+    def is_draining(self) -> bool:
+        """Whether this connection belongs to those that are drained now."""
+        return self.front.drain_scope > (Away.CLIENTS if self.last_was_call_back else Away.NOBODY)
 
-    def set_limit(self) -> None:
+    def start_request_timeout(self) -> None:
+        """Start, or restart, the timeout by which a request must be received completely."""
         deadlines = self.front.loop.deadlines
-        deadlines.drop(self.limit)
-        self.limit = deadlines.set(self.front.loop.clock.now() + WHOLE_LIMIT, self.too_slow)
+        deadlines.drop(self.request_timeout)
+        self.request_timeout = deadlines.set(
+            self.front.loop.clock.now() + REQUEST_TIMEOUT_MS, self.handle_request_timeout
+        )
 
-    def drop_limit(self) -> None:
-        self.front.loop.deadlines.drop(self.limit)
-        self.limit = None
+    def cancel_request_timeout(self) -> None:
+        """Cancel the timeout for receiving a request."""
+        self.front.loop.deadlines.drop(self.request_timeout)
+        self.request_timeout = None
 
-    def too_slow(self) -> None:
-        """The request has not come whole in time. To who said nothing at all nothing is said."""
-        if self.busy:  # something was sent ahead of an answer, and never ended
-            self.keep = False
+    def handle_request_timeout(self) -> None:
+        """Reject a request that was not received in time. A client that sent nothing gets no answer."""
+        if self.busy:  # an incomplete request was pipelined behind the one being served
+            self.keep_alive = False
         elif self.reader.idle:
             self.front.counters.add("in.silent")
             self.close()
         else:
-            self.bad(408, "the request did not come whole")
+            self.reject_invalid(408, "the request did not come whole")
 
-    def bad(self, status: int, text: str) -> None:
-        """What came cannot be used, and nothing after it is."""
+    def reject_invalid(self, status: int, text: str) -> None:
+        """Answer invalid input with an error, ignore what follows it, and close."""
         self.front.counters.add(f"in.bad.{status}")
-        self.leave()
-        self.waiting.clear()
+        self.abandon_request()
+        self.pipelined.clear()
         self.conn.write(http.response(status, text.encode() + b"\n", close=True))
         self.close()
 
-    def data(self, data: bytes) -> None:
-        self.last = self.front.loop.clock.now()
-        self.take_in(data)
+    def handle_data(self, data: bytes) -> None:
+        """Parse received bytes, and serve the requests that they complete."""
+        self.last_activity = self.front.loop.clock.now()
+        self.receive(data)
         self.conn.queued = 0.0
-        self.file()
+        self.update_eviction_tier()
 
-    def came_at(self) -> float:
-        """When what has just been read had come: maybe while the connection still waited to be accepted."""
+    def arrival_time(self) -> float:
+        """When the bytes that were just read arrived, in ms on the loop's clock. The connection may not have
+        been accepted yet at that time."""
         age = arrival.data_age(self.conn.sock)
-        return self.last - (self.conn.queued if age is None else age)
+        return self.last_activity - (self.conn.queued if age is None else age)
 
-    def take_in(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
+        """Parse received bytes, check the limits, and serve the next request if none is being served."""
         try:
-            came = self.reader.feed(data)
+            completed = self.reader.feed(data)
         except http.BadMessage as error:
-            self.bad(error.status, str(error))
+            self.reject_invalid(error.status, str(error))
             return
-        if came:
-            came_at = self.came_at()
-            for message in came:
-                message.came_at = came_at
-            self.waiting.extend(came)
+        if completed:
+            received_at = self.arrival_time()
+            for message in completed:
+                message.received_at = received_at
+            self.pipelined.extend(completed)
         if self.reader.idle:
-            self.drop_limit()
-        elif came or self.limit is None:
-            self.set_limit()
+            self.cancel_request_timeout()
+        elif completed or self.request_timeout is None:
+            self.start_request_timeout()
         if not self.front.may_hold(self):
             self.front.counters.add("in.over_memory")
-            self.refuse_more()
+            self.stop_receiving()
             return
         if self.reader.expects_continue:
             self.reader.expects_continue = False
-            if not self.waiting and not self.busy:
+            if not self.pipelined and not self.busy:
                 self.conn.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if len(self.waiting) > MOST_WAITING:
-            self.bad(400, "too much is sent ahead")
+        if len(self.pipelined) > MAX_PIPELINED_REQUESTS:
+            self.reject_invalid(400, "too much is sent ahead")
             return
-        self.next()
+        self.serve_next()
 
-    def next(self) -> None:
-        while self.waiting and not self.busy and not self.conn.closed:
-            message = self.waiting.popleft()
-            self.busy, self.keep = True, message.keep_alive
+    def serve_next(self) -> None:
+        """Serve the pipelined requests in order, up to the first that must wait for its answer."""
+        while self.pipelined and not self.busy and not self.conn.closed:
+            message = self.pipelined.popleft()
+            self.busy, self.keep_alive = True, message.keep_alive
             self.front.serve(self, message)
 
     def reply(self, status: int, body: bytes = b"", headers: tuple[str, ...] = ()) -> None:
-        self.busy, self.served = False, True
+        """Send the answer to the request that is being served, and then serve the next one or close."""
+        self.busy, self.answered = False, True
         self.hold(None)
         if self.conn.closed or self.conn.closing:
             return
-        self.last = self.front.loop.clock.now()
-        # Who asks for what there is not is left no descriptor to stay on.
-        wrong = 400 <= status < 500
-        # What has been read behind this request is owed an answer, too.
-        keep = self.keep and not wrong and (not self.sent_away or bool(self.waiting))
+        self.last_activity = self.front.loop.clock.now()
+        # A client whose request was wrong gets no descriptor to stay on.
+        client_error = 400 <= status < 500
+        # Requests that have been read behind this one must be answered, too.
+        keep = self.keep_alive and not client_error and (not self.is_draining or bool(self.pipelined))
         self.conn.write(http.response(status, body, headers, close=not keep))
         if not keep:
             self.close()
             return
         self.front.may_hold(self)
-        if self.waiting:
-            self.next()
-        self.file()
+        if self.pipelined:
+            self.serve_next()
+        self.update_eviction_tier()
 
     def hold(self, request: Request | None) -> None:
-        """It waits for this request's answer; None: for none."""
+        """Set the request whose answer this connection waits for; None if there is none."""
         self.front.jobs += (request is not None) - (self.request is not None)
         self.request = request
         self.conn.waited = request is not None
 
     def can_go(self, request: Request) -> bool:
-        """Whether it waits for this request, and nothing else has come or is going out here."""
+        """Whether this connection waits for `request` and has nothing else received or unsent."""
         if self.request is not request or self.conn.closing:
             return False
-        return self.reader.idle and not self.waiting and not self.conn.unsent
-
-    def refuse_more(self) -> None:
-        """Nothing more is taken here. A job under way is still answered; it may have run by now."""
-        self.conn.on_data = _ignore
-        target = self.waiting[0].target if self.waiting else self.reader.target
-        self.waiting.clear()
-        self.keep = False
+        return self.reader.idle and not self.pipelined and not self.conn.unsent
+
+    def stop_receiving(self) -> None:
+        """Ignore further input, and reject the request that is being received. A request that is being served
+        is still answered, since its job may have run by now."""
+        self.conn.on_data = _discard
+        target = self.pipelined[0].target if self.pipelined else self.reader.target
+        self.pipelined.clear()
+        self.keep_alive = False
         if not self.busy:
-            self.turn_down(self.front.class_of(target))
+            self.reject(self.front.class_of(target))
 
-    def turn_down(self, cls: str) -> None:
-        """There is no room: what has been sent of a job is refused before anything is sent on for it."""
+    def reject(self, cls: str) -> None:
+        """Reject a job for lack of capacity, before anything of it is sent to a worker."""
         if cls in self.front.core.classes:
             self.front.core.count_answer(cls, Verdict.TURNED_DOWN)
-        self.keep, self.busy = False, True
+        self.keep_alive, self.busy = False, True
         self.answer(NO_REQUEST, self.front.core.turned_down(math.inf))
 
-    # what a request calls
+    # What the dispatcher calls with the outcome of a request.
 
     def answer(self, request: Request, answer: Answer) -> None:
+        """Send the final answer to a request."""
         if answer.verdict is Verdict.SERVED:
             self.reply(200, answer.result)
         elif answer.verdict is Verdict.TURNED_DOWN:
-            wait = () if answer.wait is None else (f"Retry-After: {answer.wait / 1000:.3f}",)
-            self.reply(503, b"turned down\n", wait)
+            retry_after = () if answer.wait is None else (f"Retry-After: {answer.wait / 1000:.3f}",)
+            self.reply(503, b"turned down\n", retry_after)
         else:
             self.reply(500, b"failed\n")
 
     def progress(self, request: Request, share: float) -> None:
-        """Clients of this front hear only the end."""
+        """Do nothing: HTTP clients get only the final answer."""
 
     def data_part(self, request: Request, data: bytes, warning: bool) -> None:
-        """Partial data has no place in an HTTP answer."""
+        """Do nothing: an HTTP answer carries no partial data."""
 
     def has_left(self) -> bool:
+        """Whether the client has closed its side, even if that has not been handled yet."""
         return self.conn.closed or self.conn.has_ended()
 
-    # the end
+    # The end of the connection.
 
-    def leave(self) -> None:
+    def abandon_request(self) -> None:
+        """Tell the dispatcher that the client no longer waits for its request."""
         request = self.request
         self.hold(None)
         if request is not None and request.once:
@@ -246,267 +268,300 @@
         elif request is not None:
             self.front.core.detach(request, self)
 
-    def end(self) -> None:
-        """The client's end of stream: it has gone, and with it its request."""
-        self.leave()
+    def handle_eof(self) -> None:
+        """The client has closed its side: abandon its request."""
+        self.abandon_request()
 
     def close(self) -> None:
-        self.drop_limit()
+        """Close the connection once everything written has been sent."""
+        self.cancel_request_timeout()
         self.conn.close_when_sent()
-        self.file()
+        self.update_eviction_tier()
 
-    def closed(self) -> None:
-        """Its descriptor is free again, or another process's."""
-        self.drop_limit()
-        self.waiting.clear()
-        self.file()
-        self.front.forget(self)
+    def handle_close(self) -> None:
+        """Release what belongs to the connection: its descriptor is closed, or another process has it."""
+        self.cancel_request_timeout()
+        self.pipelined.clear()
+        self.update_eviction_tier()
+        self.front.remove_connection(self)
 
 
 class Edge:
-    """The listener of clients and call-backs."""
+    """Accepts the connections of clients and of workers that send call-backs, and serves their requests."""
 
     def __init__(
         self,
         loop: Loop,
         core: Dispatcher,
-        where: tuple[str, int] | socket.socket,
-        news: Callable[[bytes, Callable[[int], None]], None],
-        ready: Callable[[], str],
-        most: int,
-        extra: int,
-        memory: int,
+        listen_on: tuple[str, int] | socket.socket,
+        on_call_back: Callable[[bytes, Callable[[int], None]], None],
+        health: Callable[[], str],
+        max_connections: int,
+        extra_connections: int,
+        max_held_bytes: int,
         on: bool = True,
     ) -> None:
+        """`listen_on` is an address or a listening socket. `on_call_back` gets the body of a worker's
+        call-back and a function that answers it with a status; `health` returns the state that `/_health`
+        reports. With `on` False nothing is accepted until the listener is started."""
         self.loop, self.core, self.counters = loop, core, core.counters
-        self.news, self.ready = news, ready
-        self.most = most  # jobs that may be waited for
-        self.extra = extra  # connections past those, for call-backs and for those who say nothing
-        self.memory, self.held = memory, 0  # bytes of requests that may be held, and are
+        self.on_call_back, self.health = on_call_back, health
+        self.most = max_connections  # that may wait for a job's answer
+        self.extra = extra_connections  # beyond those, for call-backs and for clients that send nothing
+        self.memory, self.held_bytes = max_held_bytes, 0  # of requests on all connections: limit and current
         self.jobs = 0  # connections that wait for a request's answer
-        self.room: Room[EdgeConnection] = Room()
-        self.away = Away.NOBODY
-        self.away_at = math.inf  # when the first look for idle connections is, or was
-        self.away_look: Deadline | None = None
+        self.eviction_queues: EvictionQueues[EdgeConnection] = EvictionQueues()
+        self.drain_scope = Away.NOBODY
+        self.drain_at = math.inf  # when the first check for idle connections is, or was
+        self.drain_timer: Deadline | None = None
         self.connections: SlotTable[EdgeConnection] = SlotTable()
-        self.listener = Listener(loop, where, self.taken, self.make_room, on)
-        loop.deadlines.set(loop.clock.now() + SWEEP, self.sweep)
+        self.listener = Listener(loop, listen_on, self.accept_connection, self.make_room, on)
+        loop.deadlines.set(loop.clock.now() + SWEEP_INTERVAL_MS, self.sweep)
 
-    def taken(self, conn: Connection) -> None:
+    def accept_connection(self, conn: Connection) -> None:
+        """Take on a new connection, and close others or stop accepting where there are too many."""
         self.counters.add("in.edge_connections")
-        edge = EdgeConnection(self, conn)
-        edge.number = self.connections.add(edge)
+        connection = EdgeConnection(self, conn)
+        connection.number = self.connections.add(connection)
         if len(self.connections) >= self.most + self.extra // 2:
             self.make_room()
         if len(self.connections) >= self.most + self.extra:
-            # More would take descriptors that the workers' side needs; these wait in the backlog.
+            # Further connections would take descriptors that the worker side needs; they wait in the backlog.
             self.listener.rest()
 
     def make_room(self) -> bool:
-        """Close those who can best be spared, no more than needed; a kept-alive one only at the very limit.
-        Returns whether there is room now."""
+        """Close connections in the order of their eviction tiers, no more than needed, and a kept-alive one
+        only if the limit is reached. Returns whether a new connection can be accepted now."""
         now = self.loop.clock.now()
         while len(self.connections) >= self.most + self.extra // 2:
-            edge = self.room.next(now)
-            if edge is None or (edge.spare is Spare.KEPT and len(self.connections) < self.most + self.extra):
+            connection = self.eviction_queues.next_candidate(now)
+            if connection is None or (
+                connection.eviction_tier is EvictionTier.KEPT_ALIVE
+                and len(self.connections) < self.most + self.extra
+            ):
                 break
-            if not edge.conn.closing and edge.conn.has_input():
-                edge.last = now  # it is about to be read
-                edge.file()
+            if not connection.conn.closing and connection.conn.has_input():
+                connection.last_activity = now  # its input is about to be read
+                connection.update_eviction_tier()
                 continue
             self.counters.add("in.made_room")
-            edge.conn.close()
+            connection.conn.close()
         return len(self.connections) < self.most + self.extra
 
     def movable(self, request: Request) -> EdgeConnection | None:
-        """The connection that waits for this request, where it can go to another process with it."""
-        edge = request.waiters[0] if len(request.waiters) == 1 else None
-        return edge if isinstance(edge, EdgeConnection) and edge.can_go(request) else None
+        """The connection that waits for `request`, if it can be transferred to another process with it."""
+        waiter = request.waiters[0] if len(request.waiters) == 1 else None
+        return waiter if isinstance(waiter, EdgeConnection) and waiter.can_go(request) else None
 
     def adopt(self, sock: socket.socket) -> EdgeConnection:
-        """A client's connection from another process; its request is on its way."""
-        edge = EdgeConnection(self, Connection(self.loop, sock, False))
-        edge.number = self.connections.add(edge)
-        edge.drop_limit()
-        edge.busy = edge.served = edge.worked = True
-        edge.file()
-        return edge
-
-    def forget(self, edge: EdgeConnection) -> None:
-        self.connections.remove(edge.number)
-        self.held -= edge.held
-        edge.held = 0
-
-    def may_hold(self, edge: EdgeConnection) -> bool:
-        """Count what a connection holds of requests; whether all may hold as much together."""
-        body = edge.request.size if edge.request is not None else 0
-        held = edge.reader.held + body + sum(len(m.body) for m in edge.waiting)
-        grown = held > edge.held
-        self.held += held - edge.held
-        edge.held = held
-        return not grown or self.held <= self.memory
+        """Take on a client's connection from another process, which transfers its request as well."""
+        connection = EdgeConnection(self, Connection(self.loop, sock, False))
+        connection.number = self.connections.add(connection)
+        connection.cancel_request_timeout()
+        connection.busy = connection.answered = connection.carried_work = True
+        connection.update_eviction_tier()
+        return connection
+
+    def remove_connection(self, connection: EdgeConnection) -> None:
+        """Forget a closed connection, and the memory that it held."""
+        self.connections.remove(connection.number)
+        self.held_bytes -= connection.held_bytes
+        connection.held_bytes = 0
+
+    def may_hold(self, connection: EdgeConnection) -> bool:
+        """Update how many bytes of requests a connection holds. Returns False if they have grown and all
+        connections together exceed the limit."""
+        body = connection.request.size if connection.request is not None else 0
+        held = connection.reader.buffered_bytes + body + sum(len(m.body) for m in connection.pipelined)
+        grown = held > connection.held_bytes
+        self.held_bytes += held - connection.held_bytes
+        connection.held_bytes = held
+        return not grown or self.held_bytes <= self.memory
 
     def sweep(self) -> None:
+        """Close connections that have been idle, or whose answer has been unread, for too long."""
         now = self.loop.clock.now()
-        for edge in self.connections.all():
-            if edge.conn.unsent and not edge.conn.closing and now - edge.last > UNREAD_LIMIT:
-                edge.conn.close()
-                edge.end()
-            elif edge.idle and now - edge.last > IDLE_LIMIT and not edge.conn.has_input():
-                edge.close()
-        self.loop.deadlines.set(now + SWEEP, self.sweep)
-
-    def send_away(self, whom: Away, after: float) -> None:
-        """Stop keep-alive with these, and from `after` ms on close the idle ones. The listener stays, for
-        call-backs and for what the front still sends."""
-        if whom is self.away:
+        for connection in self.connections.all():
+            if (
+                connection.conn.unsent
+                and not connection.conn.closing
+                and now - connection.last_activity > UNREAD_ANSWER_TIMEOUT_MS
+            ):
+                connection.conn.close()
+                connection.handle_eof()
+            elif (
+                connection.idle
+                and now - connection.last_activity > IDLE_TIMEOUT_MS
+                and not connection.conn.has_input()
+            ):
+                connection.close()
+        self.loop.deadlines.set(now + SWEEP_INTERVAL_MS, self.sweep)
+
+    def send_away(self, scope: Away, after: float) -> None:
+        """Stop keep-alive on the connections in `scope`, and from `after` ms on close the idle ones. The
+        listener stays open, for call-backs and for what a balancer still sends."""
+        if scope is self.drain_scope:
             return
-        self.away = whom
-        if whom is Away.NOBODY:
-            self.loop.deadlines.drop(self.away_look)
-            self.away_at = math.inf
+        self.drain_scope = scope
+        if scope is Away.NOBODY:
+            self.loop.deadlines.drop(self.drain_timer)
+            self.drain_at = math.inf
         else:
-            self.away_at = min(self.away_at, self.loop.clock.now() + after)
-            self.look_for_idle()
+            self.drain_at = min(self.drain_at, self.loop.clock.now() + after)
+            self.close_idle()
 
-    def look_for_idle(self, at_once: bool = False) -> None:
-        """Close those who rest. What arrives just then was not taken: its sender sends it again elsewhere.
-        `at_once`: those whose first request is on its way, too."""
+    def close_idle(self, at_once: bool = False) -> None:
+        """Close the idle connections among those that are drained, and reject requests that stay incomplete
+        for too long. A request that arrives at the same moment is not accepted, so its sender can safely send
+        it again elsewhere. `at_once`: also close new connections whose first request may be on its way."""
         now = self.loop.clock.now()
-        self.loop.deadlines.drop(self.away_look)
-        refuses = self.away is Away.CLIENTS and now >= self.away_at + HALF_SENT
-        if now >= self.away_at:
-            for edge in self.connections.all():
-                if not edge.sent_away or edge.conn.closing or edge.conn.has_input():
+        self.loop.deadlines.drop(self.drain_timer)
+        rejects_partial = self.drain_scope is Away.CLIENTS and now >= self.drain_at + PARTIAL_REQUEST_GRACE_MS
+        if now >= self.drain_at:
+            for connection in self.connections.all():
+                if not connection.is_draining or connection.conn.closing or connection.conn.has_input():
                     continue
-                # The first request of a new connection is on its way, and is answered.
-                if edge.idle and (at_once or edge.served or now - edge.last > ON_ITS_WAY):
-                    edge.close()
-                elif refuses and edge.spare is Spare.HALF:
-                    edge.refuse_more()
-        self.away_look = self.loop.deadlines.set(max(now + AWAY_EVERY, self.away_at), self.look_for_idle)
+                # The first request of a new connection may be on its way, and is answered.
+                if connection.idle and (
+                    at_once or connection.answered or now - connection.last_activity > FIRST_REQUEST_GRACE_MS
+                ):
+                    connection.close()
+                elif rejects_partial and connection.eviction_tier is EvictionTier.PARTIAL:
+                    connection.stop_receiving()
+        self.drain_timer = self.loop.deadlines.set(
+            max(now + DRAIN_INTERVAL_MS, self.drain_at), self.close_idle
+        )
 
     def part(self, at_once: bool) -> bool:
-        """All is answered, and we want to end: whether those who are still connected have been sent off. What
-        of theirs lies unread comes first, and what it leads to needs the listener, for call-backs. `at_once`:
-        nothing is taken any more, so that nobody is waited for."""
+        """Close the remaining connections once everything is answered, before the process exits. To be called
+        until it returns True: none is left. Unread input is served first, and its jobs need the listener for
+        their call-backs. With `at_once` nothing is served any more, and no client is waited for."""
         if at_once and self.listener.on:
-            self.listener.ready(READ)  # who has come by now is told so
-        self.look_for_idle(at_once)
-        for edge in self.connections.all():
-            if edge.spare is Spare.HALF and not edge.conn.has_input():
-                edge.refuse_more()
-        if at_once or all(edge.conn.closing for edge in self.connections.all()):
+            self.listener.ready(READ)  # clients that have connected by now get a rejection
+        self.close_idle(at_once)
+        for connection in self.connections.all():
+            if connection.eviction_tier is EvictionTier.PARTIAL and not connection.conn.has_input():
+                connection.stop_receiving()
+        if at_once or all(connection.conn.closing for connection in self.connections.all()):
             self.listener.pause()
         return not len(self.connections)
 
     def answer_all(self) -> int:
-        """Answer whatever has been read here and is not answered yet, for the process ends; how many."""
-        busy = [edge for edge in self.connections.all() if edge.busy and not edge.conn.closing]
-        for edge in busy:
-            request = edge.request
+        """Answer each request that is still being served, since the process exits; returns how many."""
+        busy = [c for c in self.connections.all() if c.busy and not c.conn.closing]
+        for connection in busy:
+            request = connection.request
             if request is not None:
-                self.core.answer_waiter(request, edge)
+                self.core.answer_waiter(request, connection)
             else:
-                edge.reply(503)
+                connection.reply(503)
         return len(busy)
 
-    def quiet(self, halves: bool) -> bool:
-        """Whether nobody is owed anything here; with `halves`, nor is a request still on its way."""
+    def quiet(self, include_partial: bool) -> bool:
+        """Whether no connection waits for an answer or has one unsent; with `include_partial` also whether
+        none has a request partly received."""
         return not any(
-            (e.busy or e.waiting or e.conn.unsent or (halves and not e.reader.idle and not e.conn.closing))
-            and not e.conn.closed
-            for e in self.connections.all()
+            (
+                c.busy
+                or c.pipelined
+                or c.conn.unsent
+                or (include_partial and not c.reader.idle and not c.conn.closing)
+            )
+            and not c.conn.closed
+            for c in self.connections.all()
         )
 
-    # -- requests
+    # Requests.
 
-    def serve(self, edge: EdgeConnection, message: http.Message) -> None:
-        path, first = message.path, self.class_of(message.target)
+    def serve(self, connection: EdgeConnection, message: http.Message) -> None:
+        """Answer a request, or pass the job that it is on to the dispatcher."""
+        path, cls = message.path, self.class_of(message.target)
         if path == "/_health":
             if message.method not in ("GET", "HEAD"):
-                edge.reply(405, headers=("Allow: GET, HEAD",))
+                connection.reply(405, headers=("Allow: GET, HEAD",))
             else:
-                state = self.ready()
+                state = self.health()
                 text = b"" if message.method == "HEAD" else state.encode() + b"\n"
-                edge.reply(200 if state.startswith("up") else 503, text)
+                connection.reply(200 if state.startswith("up") else 503, text)
         elif path == "/_jobs/news":
             if message.method != "POST":
-                edge.reply(405, headers=("Allow: POST",))
+                connection.reply(405, headers=("Allow: POST",))
             else:
-                edge.worked = edge.calls_back = True
-                self.news(message.body, edge.reply)
-        elif first in self.core.classes:
+                connection.carried_work = connection.last_was_call_back = True
+                self.on_call_back(message.body, connection.reply)
+        elif cls in self.core.classes:
             if message.method != "POST":
-                edge.reply(405, headers=("Allow: POST",))
+                connection.reply(405, headers=("Allow: POST",))
             else:
-                self.take(edge, first, message)
+                self.submit_job(connection, cls, message)
         else:
-            edge.reply(404, b"no such path\n")
+            connection.reply(404, b"no such path\n")
 
     @staticmethod
     def class_of(target: bytes) -> str:
-        """The first part of a path, which names a job's class."""
-        parts = target.split(b"?", 1)[0].decode("latin-1").split("/", 2)
-        return parts[1] if len(parts) > 1 and not parts[0] else ""
+        """The first segment of a path, which names a job's class; empty if there is none."""
+        segments = target.split(b"?", 1)[0].decode("latin-1").split("/", 2)
+        return segments[1] if len(segments) > 1 and not segments[0] else ""
 
-    def take(self, edge: EdgeConnection, cls: str, message: http.Message) -> None:
+    def submit_job(self, connection: EdgeConnection, cls: str, message: http.Message) -> None:
+        """Submit a job to the dispatcher, or answer at once why it is not accepted."""
         try:
             default = self.core.classes[cls].deadline
-            request = make_request(cls, message, message.came_at, default, self.core.is_durable(cls))
+            request = make_request(cls, message, message.received_at, default, self.core.is_durable(cls))
             if self.jobs >= self.most:
                 self.counters.add("in.over_connections")
-                edge.turn_down(cls)
+                connection.reject(cls)
                 return
-            joined = self.core.submit(request, edge)
+            joined = self.core.submit(request, connection)
         except ValueError as error:
             self.counters.add("in.bad.400")
-            edge.reply(400, f"{error}\n".encode())
+            connection.reply(400, f"{error}\n".encode())
             return
         except IdTaken:
             self.counters.add("in.bad.409")
-            edge.reply(409, b"this Req-Id is another request's\n")
+            connection.reply(409, b"this Req-Id is another request's\n")
             return
         except OtherJob:
             self.counters.add("in.bad.422")
-            edge.reply(422, b"this Idempotency-Key is that of a job that asked for something else\n")
+            connection.reply(422, b"this Idempotency-Key is that of a job that asked for something else\n")
             return
-        edge.worked, edge.calls_back = True, False
-        if edge.busy and not joined.ended:
-            edge.hold(joined)
-            self.may_hold(edge)
+        connection.carried_work, connection.last_was_call_back = True, False
+        if connection.busy and not joined.ended:
+            connection.hold(joined)
+            self.may_hold(connection)
 
 
-def _ignore(data: bytes) -> None:
-    """What is not taken is dropped as it comes."""
+def _discard(data: bytes) -> None:
+    """Drop received bytes that are not to be parsed."""
 
 
-def _number(headers: dict[str, str], name: str, form: re.Pattern[str]) -> float | None:
+def _parse_number(headers: dict[str, str], name: str, pattern: re.Pattern[str]) -> float | None:
+    """The number in a header, or None if the header is missing. Raises `ValueError` unless it matches."""
     text = headers.get(name)
     if text is None:
         return None
-    if not form.fullmatch(text):
+    if not pattern.fullmatch(text):
         raise ValueError(f"{name} is no number")
     return float(text)
 
 
-def extras(text: str) -> dict[str, float]:
-    """The figures of `name=value,name=value`; what is no number is skipped, as unknown names are."""
-    figures: dict[str, float] = {}
-    for part in text.split(","):
-        name, _, value = part.partition("=")
+def parse_extras(text: str) -> dict[str, float]:
+    """The numbers in `name=value,name=value`. Values that are not numbers, or not in range, are skipped."""
+    numbers: dict[str, float] = {}
+    for item in text.split(","):
+        name, _, value = item.partition("=")
         try:
             number = float(value)
         except ValueError:
             continue
         if 0 <= number < 1e9:
-            figures[name.strip()] = number
-    return figures
+            numbers[name.strip()] = number
+    return numbers
 
 
-def job_name(text: str) -> str:
-    """The value of an Idempotency-Key (draft-ietf-httpapi-idempotency-key-header, section 2.1): a string
-    of RFC 8941, in double quotes; a bare one is taken too. Raises `ValueError`."""
+def parse_idempotency_key(text: str) -> str:
+    """The value of an Idempotency-Key (draft-ietf-httpapi-idempotency-key-header, section 2.1): a string of
+    RFC 8941, in double quotes; one without quotes is accepted, too. Raises `ValueError`."""
     name = text[1:-1] if len(text) > 1 and text[0] == text[-1] == '"' else text
     if not REQ_ID.fullmatch(name):
         raise ValueError("an Idempotency-Key has up to 128 letters, digits and ._~:@+=-")
@@ -514,31 +569,32 @@
 
 
 def make_request(
-    cls: str, message: http.Message, came_at: float, default_deadline: float, durable: bool = False
+    cls: str, message: http.Message, received_at: float, default_deadline: float, durable: bool = False
 ) -> Request:
-    """A request from a client's request; that of a durable class may bear a name by which it can be asked for
-    again. Raises `ValueError` with what is wrong with it."""
-    h = message.headers
-    unique, named = h.get("req-id", ""), h.get("idempotency-key") if durable else None
-    if named is not None:
-        unique = job_name(named)
+    """The job that a client's HTTP request asks for. `received_at` and `default_deadline` are in ms. A job of
+    a durable class may have an Idempotency-Key, by which its client can ask for it again. Raises
+    `ValueError`, with a text for the client, if a header is missing or invalid."""
+    headers = message.headers
+    unique, key = headers.get("req-id", ""), headers.get("idempotency-key") if durable else None
+    if key is not None:
+        unique = parse_idempotency_key(key)
     elif not REQ_ID.fullmatch(unique):
         raise ValueError("a Req-Id is needed, of up to 128 letters, digits and ._~:@+=-")
-    wait = _number(h, "req-deadline-ms", WHOLE)
-    hint = _number(h, "req-cost", DECIMAL)
-    more = extras(h.get("req-extra", ""))
+    wait = _parse_number(headers, "req-deadline-ms", WHOLE_NUMBER)
+    cost = _parse_number(headers, "req-cost", DECIMAL_NUMBER)
+    extras = parse_extras(headers.get("req-extra", ""))
     return Request(
         cls,
         unique,
         message.target,
         message.body,
-        came_at + min(default_deadline if wait is None else wait, MOST_DEADLINE),
-        slots=more.get("slots") or 1.0,
-        memory=more.get("memory") or 0.0,
-        tenant=h.get("req-owner") or None,
-        key=h.get("req-key"),
-        hint=hint / 1000.0 if hint else None,
-        client_retry=h.get("req-retry") == "1",
-        once=named is None,
-        idempotency_key=h.get("idempotency-key"),
+        received_at + min(default_deadline if wait is None else wait, MAX_DEADLINE_MS),
+        slots=extras.get("slots") or 1.0,
+        memory=extras.get("memory") or 0.0,
+        tenant=headers.get("req-owner") or None,
+        key=headers.get("req-key"),
+        hint=cost / 1000.0 if cost else None,
+        client_retry=headers.get("req-retry") == "1",
+        once=key is None,
+        idempotency_key=headers.get("idempotency-key"),
     )
--- a/eiderpin/net/http.py
+++ b/eiderpin/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: httptools in, bytes out."""
+"""HTTP/1.1: parses requests and responses with httptools, and builds them as bytes."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 
 import httptools
 
-MOST_BODY = 64 * 1024
-MOST_HEAD = 32 * 1024
-MOST_FIELDS = 100
-MOST_TARGET = 8 * 1024
-WIRE = 8  # times the longest body, of one message on the wire: chunks may be tiny, their extensions long
-TARGET = re.compile(rb"[!-\"$-~]+")  # what any worker can read: visible ASCII and no fragment
-# Headers that we act on: a second one would leave open which of them counts.
-ONCE = ("host", "content-length", "transfer-encoding", "expect", "idempotency-key")
-
-REASONS = {
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 32 * 1024
+MAX_HEADER_FIELDS = 100
+MAX_TARGET_BYTES = 8 * 1024
+# A message with its framing may be this many times the longest body: chunks may be tiny, and their extensions
+# long.
+MAX_FRAMING_FACTOR = 8
+VALID_TARGET = re.compile(rb"[!-\"$-~]+")  # what any worker can parse: visible ASCII and no fragment
+# Headers that are acted on: if one were given twice, it would be open which of them counts.
+SINGLE_VALUED_HEADERS = ("host", "content-length", "transfer-encoding", "expect", "idempotency-key")
+
+REASON_PHRASES = {
     100: "Continue", 200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
     405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
     414: "URI Too Long", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
@@ -25,7 +27,7 @@
 
 
 class BadMessage(Exception):
-    """What came is no message that we take; `status` is what a client is told."""
+    """The input is not an HTTP message that is accepted here; `status` is the one to answer it with."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -34,7 +36,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request or a response that has come whole."""
+    """A request or a response that has been received completely."""
 
     method: str = ""
     target: bytes = b""
@@ -42,88 +44,98 @@
     headers: dict[str, str] = field(default_factory=dict)  # names in lower case
     body: bytes = b""
     keep_alive: bool = True
-    came_at: float = 0.0  # when its last byte came, on the loop's clock
+    received_at: float = 0.0  # when its last byte arrived, in ms on the loop's clock
 
     @property
     def path(self) -> str:
+        """The target without its query."""
         return self.target.split(b"?", 1)[0].decode("latin-1")
 
 
-class _Reader:
-    """Collects the messages of one connection from httptools' calls."""
+class _MessageReader:
+    """Builds the messages of one connection from the parser's callbacks, and enforces the limits."""
 
-    def __init__(self, most_body: int = MOST_BODY) -> None:
-        self.most_body = most_body
-        self.complete: list[Message] = []
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self.max_body_bytes = max_body_bytes
+        self.completed: list[Message] = []
         self.expects_continue = False
         self._message = Message()
         self._body = bytearray()
-        self._head = 0  # bytes of names and values, and of chunks that ended within the head
-        self._fields = 0
-        self._wire = 0  # bytes of the message that have come
+        self._head_bytes = 0  # of header names and values, and of chunks that ended within the head
+        self._field_count = 0
+        self._message_bytes = 0  # received of the current message, with its framing
         self._in_head = True
-        self._begun = False  # some of a next message has come
-        self._idle_bytes = 0  # bytes between messages: line ends, which the parser passes over
+        self._started = False  # part of a message has been received
+        self._idle_bytes = 0  # bytes between messages: line ends, which the parser skips
 
     @property
     def idle(self) -> bool:
-        """Nothing of a next message has come."""
-        return not self._begun and not self._idle_bytes
+        """Whether nothing of a next message has been received."""
+        return not self._started and not self._idle_bytes
 
-    # httptools calls these
+    # The parser's callbacks; httptools looks them up by name.
 
     def on_message_begin(self) -> None:
+        """Start a new message."""
         self._message = Message()
         self._body = bytearray()
-        self._head = self._fields = self._wire = self._idle_bytes = 0
-        self._in_head = self._begun = True
+        self._head_bytes = self._field_count = self._message_bytes = self._idle_bytes = 0
+        self._in_head = self._started = True
 
     def on_url(self, url: bytes) -> None:
+        """Append to the target. Raises `BadMessage` if it is too long."""
         self._message.target += url
-        if len(self._message.target) > MOST_TARGET:
+        if len(self._message.target) > MAX_TARGET_BYTES:
             raise BadMessage(414, "the target is over 8 KiB")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header. Raises `BadMessage` if the head is too large, or for a forbidden duplicate."""
         if not self._in_head:
-            return  # a trailer, which must not pass for a header
-        self._head += len(name) + len(value) + 4
-        self._fields += 1
-        if self._head > MOST_HEAD or self._fields > MOST_FIELDS:
+            return  # a trailer, which must not count as a header
+        self._head_bytes += len(name) + len(value) + 4
+        self._field_count += 1
+        if self._head_bytes > MAX_HEAD_BYTES or self._field_count > MAX_HEADER_FIELDS:
             raise BadMessage(431, "the head is over 32 KiB or 100 fields")
         key, text = name.decode("latin-1").lower(), value.decode("latin-1").strip(" \t")
-        if key in self._message.headers and (key in ONCE or key.startswith("req-")):
+        if key in self._message.headers and (key in SINGLE_VALUED_HEADERS or key.startswith("req-")):
             raise BadMessage(400, f"{key} is given twice")
         self._message.headers[key] = text
 
     def on_body(self, body: bytes) -> None:
-        if len(self._body) + len(body) > self.most_body:
-            raise BadMessage(413, f"the body is over {self.most_body >> 10} KiB")
+        """Append to the body. Raises `BadMessage` if it is too long."""
+        if len(self._body) + len(body) > self.max_body_bytes:
+            raise BadMessage(413, f"the body is over {self.max_body_bytes >> 10} KiB")
         self._body += body
 
     def on_headers_complete(self) -> None:
+        """Check the headers. Raises `BadMessage` if they announce a body that is too long."""
         self._in_head = False
         length = self._message.headers.get("content-length", "0")
-        if length.isdigit() and int(length) > self.most_body:
-            raise BadMessage(413, f"the body is over {self.most_body >> 10} KiB")
+        if length.isdigit() and int(length) > self.max_body_bytes:
+            raise BadMessage(413, f"the body is over {self.max_body_bytes >> 10} KiB")
         if self._message.headers.get("expect", "").lower() == "100-continue":
             self.expects_continue = True
 
     def on_message_complete(self) -> None:
+        """Put the message among the completed ones."""
         self._message.body = bytes(self._body)
         self._message.keep_alive = self._parser_keeps_alive()
-        self._finish(self._message)
-        self.complete.append(self._message)
-        self._begun = False
+        self._read_start_line(self._message)
+        self.completed.append(self._message)
+        self._started = False
         self._body = bytearray()
 
     def _parser_keeps_alive(self) -> bool:
+        """Whether the connection may be used after this message."""
         raise NotImplementedError
 
-    def _finish(self, message: Message) -> None:
+    def _read_start_line(self, message: Message) -> None:
+        """Set what the parser knows of the message's start line: the method, or the status."""
         raise NotImplementedError
 
     def _feed(self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes) -> None:
-        begun = self._begun
+        """Parse received bytes. Raises `BadMessage`."""
+        had_started = self._started
         try:
             parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -133,33 +145,39 @@
             raise cause if isinstance(cause, BadMessage) else BadMessage(400, "not HTTP") from None
         except httptools.HttpParserError:
             raise BadMessage(400, "not HTTP") from None
-        if not self._begun:
-            self._idle_bytes = 0 if self.complete else self._idle_bytes + len(data)
+        if not self._started:
+            self._idle_bytes = 0 if self.completed else self._idle_bytes + len(data)
             return
-        if begun or not self.complete:  # else some of these bytes belong to the message before
-            self._wire += len(data)
-        if self._in_head and self._wire > MOST_HEAD:
+        if had_started or not self.completed:  # otherwise some of these bytes belong to the message before
+            self._message_bytes += len(data)
+        if self._in_head and self._message_bytes > MAX_HEAD_BYTES:
             raise BadMessage(431, "the head is over 32 KiB")
-        if self._wire > WIRE * self.most_body:
-            raise BadMessage(413, f"the message is over {WIRE * self.most_body >> 10} KiB with its framing")
+        if self._message_bytes > MAX_FRAMING_FACTOR * self.max_body_bytes:
+            raise BadMessage(
+                413,
+                f"the message is over {MAX_FRAMING_FACTOR * self.max_body_bytes >> 10} KiB with its framing",
+            )
+
 
+class RequestReader(_MessageReader):
+    """Parses the requests that are received on one connection."""
 
-class RequestReader(_Reader):
     def __init__(self) -> None:
         super().__init__()
         self._parser = httptools.HttpRequestParser(self)
 
     @property
-    def held(self) -> int:
-        """Bytes of a body that has not come whole."""
+    def buffered_bytes(self) -> int:
+        """Bytes of a body that has not been received completely."""
         return len(self._body)
 
     @property
     def target(self) -> bytes:
-        """Where the message that is coming is addressed; b"" where none is."""
-        return self._message.target if self._begun else b""
+        """The target of the request that is being received; empty if there is none."""
+        return self._message.target if self._started else b""
 
     def on_headers_complete(self) -> None:
+        """Check the headers of a request. Raises `BadMessage`."""
         super().on_headers_complete()
         headers, version = self._message.headers, self._parser.get_http_version()
         if version not in ("1.0", "1.1"):
@@ -169,51 +187,63 @@
             raise BadMessage(400, "the one transfer encoding is chunked, of HTTP/1.1")
         if encoding is not None and "content-length" in headers:
             raise BadMessage(400, "a length and an encoding are both given")
-        if not TARGET.fullmatch(self._message.target):
+        if not VALID_TARGET.fullmatch(self._message.target):
             raise BadMessage(400, "the target holds what is not visible ASCII")
 
     def feed(self, data: bytes) -> list[Message]:
-        """The requests that these bytes complete. Raises `BadMessage`, after which the reader is spent."""
+        """The requests that these bytes complete. Raises `BadMessage`; the reader must not be used after
+        that."""
         self._feed(self._parser, data)
-        done, self.complete = self.complete, []
-        return done
+        completed, self.completed = self.completed, []
+        return completed
 
     def _parser_keeps_alive(self) -> bool:
         return bool(self._parser.should_keep_alive())
 
-    def _finish(self, message: Message) -> None:
+    def _read_start_line(self, message: Message) -> None:
         message.method = self._parser.get_method().decode("latin-1")
 
 
-class ResponseReader(_Reader):
-    def __init__(self, most_body: int = MOST_BODY) -> None:
-        super().__init__(most_body)
+class ResponseReader(_MessageReader):
+    """Parses the responses that are received on one connection."""
+
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        super().__init__(max_body_bytes)
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> list[Message]:
+        """The final responses that these bytes complete; interim ones (1xx) are dropped. Raises
+        `BadMessage`."""
         self._feed(self._parser, data)
-        done, self.complete = self.complete, []
-        return [m for m in done if m.status >= 200]
+        completed, self.completed = self.completed, []
+        return [message for message in completed if message.status >= 200]
 
     def at_end(self) -> Message | None:
-        """The answer that the end of its connection completes: one that told no length. None where it was
-        cut, or none was under way."""
-        message, h = self._message, self._message.headers
-        if not self._begun or self._in_head or "content-length" in h or "transfer-encoding" in h:
+        """The response that the end of the connection completes: one without a length. None if the response
+        was cut short, or if none was being received."""
+        message, headers = self._message, self._message.headers
+        if (
+            not self._started
+            or self._in_head
+            or "content-length" in headers
+            or "transfer-encoding" in headers
+        ):
             return None
-        message.body, message.keep_alive, self._begun = bytes(self._body), False, False
+        message.body, message.keep_alive, self._started = bytes(self._body), False, False
         message.status = self._parser.get_status_code()
         return message
 
     def _parser_keeps_alive(self) -> bool:
         return bool(self._parser.should_keep_alive())
 
-    def _finish(self, message: Message) -> None:
+    def _read_start_line(self, message: Message) -> None:
         message.status = self._parser.get_status_code()
 
 
 def response(status: int, body: bytes = b"", headers: tuple[str, ...] = (), close: bool = False) -> bytes:
-    lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Other')}", *headers]
+    """A response as bytes. Each of `headers` is a whole line, `Name: value`; with `close` the client is told
+    that the connection ends with this response."""
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Other')}", *headers]
     if status != 204:
         lines.append(f"Content-Length: {len(body)}")
     if close:
@@ -222,6 +252,7 @@
 
 
 def request(method: str, target: bytes, headers: tuple[str, ...] = (), body: bytes = b"") -> bytes:
+    """A request as bytes. Each of `headers` is a whole line, `Name: value`."""
     head = [method.encode() + b" " + target + b" HTTP/1.1", *(h.encode("latin-1") for h in headers)]
     if body or method == "POST":
         head.append(b"Content-Length: %d" % len(body))
--- a/eiderpin/net/room.py
+++ b/eiderpin/net/room.py
@@ -1,4 +1,7 @@
-"""Which edge connections may be closed to make room, and in what order; no look at them all for any one."""
+"""Which client connections may be closed to make room for others, and in what order.
+
+The connections are kept in one queue per tier, so that the next one to close is found without a scan.
+"""
 
 from __future__ import annotations
 
@@ -6,49 +9,62 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Spare(IntEnum):
-    """What a connection has shown, the first to go first."""
+class EvictionTier(IntEnum):
+    """How much a connection has been used so far; the lowest tier is closed first."""
+
+    REJECTED = 0  # its request was rejected, and the client has not closed yet
+    SILENT = 1  # nothing has been received
+    ANSWERED = 2  # it has had an answer, but carried neither a job nor a call-back
+    PARTIAL = 3  # part of a request has been received
+    KEPT_ALIVE = 4  # it has carried jobs or call-backs, and may carry more
+
 
-    REFUSED = 0  # it has been refused, and stays
-    SILENT = 1  # nothing has come
-    ASKED = 2  # it has had an answer, but brought neither job nor call-back
-    HALF = 3  # some of a request has come
-    KEPT = 4  # it has brought jobs or call-backs, and may bring more
+# How long a connection must have been silent before it may be closed. The first request of a new connection
+# may still be on its way, and so may the next part of a slow client's request.
+MIN_SILENCE_MS = {
+    EvictionTier.REJECTED: 150.0,
+    EvictionTier.SILENT: 150.0,
+    EvictionTier.ANSWERED: 150.0,
+    EvictionTier.PARTIAL: 700.0,
+    EvictionTier.KEPT_ALIVE: 150.0,
+}
 
 
-# ms without a byte before it may be closed: a first request is on its way, and a slow client's next piece.
-QUIET = {Spare.REFUSED: 150.0, Spare.SILENT: 150.0, Spare.ASKED: 150.0, Spare.HALF: 700.0, Spare.KEPT: 150.0}
+class Evictable(Protocol):
+    """What `EvictionQueues` needs of a connection."""
 
+    last_activity: float  # when something was received or answered, ms on the loop's clock
+    eviction_tier: EvictionTier | None  # the queue that it is in
 
-class Filed(Protocol):
-    last: float  # when something came or was answered
-    spare: Spare | None  # the queue it stands in
 
+EvictableT = TypeVar("EvictableT", bound=Evictable)
 
-E = TypeVar("E", bound=Filed)
 
+class EvictionQueues(Generic[EvictableT]):
+    """The connections that may be closed to make room: a queue for each tier, the oldest entry first."""
 
-class Room(Generic[E]):
     def __init__(self) -> None:
-        self.queues: dict[Spare, dict[E, None]] = {spare: {} for spare in Spare}
-
-    def file(self, edge: E, spare: Spare | None) -> None:
-        """Put a connection at the end of a queue; None: it may not be closed."""
-        if edge.spare is not None:
-            self.queues[edge.spare].pop(edge, None)
-        edge.spare = spare
-        if spare is not None:
-            self.queues[spare][edge] = None
-
-    def next(self, now: float) -> E | None:
-        """The one to close first, if there is one now. One that is kept alive goes only where there are no
-        others: its client opens another when it needs one."""
-        others = False
-        for spare, queue in self.queues.items():
+        self.queues: dict[EvictionTier, dict[EvictableT, None]] = {tier: {} for tier in EvictionTier}
+
+    def move(self, connection: EvictableT, tier: EvictionTier | None) -> None:
+        """Move a connection to the end of a tier's queue; with None it may not be closed."""
+        if connection.eviction_tier is not None:
+            self.queues[connection.eviction_tier].pop(connection, None)
+        connection.eviction_tier = tier
+        if tier is not None:
+            self.queues[tier][connection] = None
+
+    def next_candidate(self, now: float) -> EvictableT | None:
+        """The connection to close first, or None if none may be closed at `now` (ms on the loop's clock).
+
+        A kept-alive connection is returned only if there are no others: its client opens another one when it
+        needs it."""
+        lower_tier_used = False
+        for tier, queue in self.queues.items():
             first = next(iter(queue), None)
-            if first is None or (spare is Spare.KEPT and others):
+            if first is None or (tier is EvictionTier.KEPT_ALIVE and lower_tier_used):
                 continue
-            others = True
-            if now - first.last >= QUIET[spare]:
+            lower_tier_used = True
+            if now - first.last_activity >= MIN_SILENCE_MS[tier]:
                 return first
         return None
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -45,16 +45,16 @@
 
 def sigterm(stage: Stage) -> None:
     stage.service.stop()
-    stage.pass_time(edges.AWAY_EVERY)
+    stage.pass_time(edges.DRAIN_INTERVAL_MS)
 
 
 def drain(stage: Stage) -> None:
     stage.service.drain()
-    stage.pass_time(services.SETTLE + edges.AWAY_EVERY)
+    stage.pass_time(services.SETTLE + edges.DRAIN_INTERVAL_MS)
 
 
 def long_idle(stage: Stage) -> None:
-    stage.pass_time(edges.IDLE_LIMIT + 2 * edges.SWEEP)
+    stage.pass_time(edges.IDLE_TIMEOUT_MS + 2 * edges.SWEEP_INTERVAL_MS)
 
 
 CLOSES: dict[str, Callable[[Stage], None]] = {"SIGTERM": sigterm, "drain": drain, "long idle": long_idle}
@@ -339,7 +339,7 @@
                     self.assertEqual(len(ended), 10)
                     continue
                 self.assertLessEqual(len(edge.connections), 2)
-                self.assertEqual(edge.held, sum(e.held for e in edge.connections.all()))
+                self.assertEqual(edge.held_bytes, sum(c.held_bytes for c in edge.connections.all()))
 
     def test_no_descriptors_for_a_while_is_no_busy_loop_and_no_end(self) -> None:
         """The kernel refuses each accept: the listener rests between two tries, and wakes."""
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -16,7 +16,7 @@
 import unittest
 from typing import Any
 
-from eiderpin.net.room import Room, Spare
+from eiderpin.net.room import EvictionQueues, EvictionTier
 from tests.standins import SETTINGS, Discovery, HttpWorker, http_call, rest, running, wait_for
 
 
@@ -360,21 +360,26 @@
             self.assertIn(b"slow", slow.recv(65536))
             self.assertGreater(program.counters()["in.made_room"], 0)
 
-    def test_room_is_made_in_order_and_no_sooner_than_needed(self) -> None:
-        class One:
-            def __init__(self, last: float) -> None:
-                self.last, self.spare = last, None
-
-        room: Room[Any] = Room()
-        kept, half, silent, refused, fresh = (One(x) for x in (0.0, 100.0, 200.0, 300.0, 900.0))
-        for one, spare in ((kept, Spare.KEPT), (half, Spare.HALF), (silent, Spare.SILENT),
-                           (refused, Spare.REFUSED), (fresh, Spare.SILENT)):  # fmt: skip
-            room.file(one, spare)
-        self.assertIsNone(room.next(140.0))  # one that is kept does not go before others that are fresh
-        for one, now in ((refused, 500.0), (silent, 500.0), (fresh, 1100.0), (half, 1100.0), (kept, 1100.0)):
-            self.assertIs(room.next(now), one)
-            room.file(one, None)
-        self.assertIsNone(room.next(1e9))
+    def test_connections_are_closed_in_the_order_of_their_tiers_and_only_after_some_silence(self) -> None:
+        class FakeConnection:
+            def __init__(self, last_activity: float) -> None:
+                self.last_activity, self.eviction_tier = last_activity, None
+
+        queues: EvictionQueues[Any] = EvictionQueues()
+        kept_alive, partial, silent, rejected, new = (
+            FakeConnection(at) for at in (0.0, 100.0, 200.0, 300.0, 900.0)
+        )
+        for connection, tier in ((kept_alive, EvictionTier.KEPT_ALIVE), (partial, EvictionTier.PARTIAL),
+                                 (silent, EvictionTier.SILENT), (rejected, EvictionTier.REJECTED),
+                                 (new, EvictionTier.SILENT)):  # fmt: skip
+            queues.move(connection, tier)
+        # A kept-alive connection is not closed before others, even if these have not been silent for long.
+        self.assertIsNone(queues.next_candidate(140.0))
+        for connection, now in ((rejected, 500.0), (silent, 500.0), (new, 1100.0), (partial, 1100.0),
+                                (kept_alive, 1100.0)):  # fmt: skip
+            self.assertIs(queues.next_candidate(now), connection)
+            queues.move(connection, None)
+        self.assertIsNone(queues.next_candidate(1e9))
 
     def test_bodies_past_the_memory_for_them_are_turned_down(self) -> None:
         worker = HttpWorker("h1", never)
