--- a/eiderpin/net/gearman.py
+++ b/eiderpin/net/gearman.py
@@ -1,4 +1,4 @@
-"""The Gearman protocol's packets and text lines, as pure functions of bytes."""
+"""Encodes and decodes the Gearman protocol: binary packets, and the lines of its text protocol."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MOST_DATA = 64 * 1024  # the last argument
-MOST_ARGS = 2 * 1024  # all the others together
-MOST_LINE = 1024
+MAX_DATA_BYTES = 64 * 1024  # of a packet's last argument
+MAX_ARGUMENT_BYTES = 2 * 1024  # of each other argument; in a packet's total size, of all of them together
+MAX_LINE_BYTES = 1024
 
-REQUEST, RESPONSE = b"\0REQ", b"\0RES"
-HEAD = struct.Struct(">4sII")
+REQUEST, RESPONSE = b"\0REQ", b"\0RES"  # the magic bytes of packets to and from a job server
+HEADER = struct.Struct(">4sII")  # magic, packet type, size of what follows
 
 
 class Kind(IntEnum):
+    """The packet types of the protocol that are known here."""
+
     CAN_DO = 1
     CANT_DO = 2
     RESET_ABILITIES = 3
@@ -52,8 +54,8 @@
     STATUS_RES_UNIQUE = 42
 
 
-# How many arguments each kind has; the last one may hold NUL bytes, the others end with one.
-ARGUMENTS = {
+# How many arguments each packet type has. All but the last end with a NUL byte; the last may contain some.
+ARGUMENT_COUNTS = {
     Kind.CAN_DO: 1, Kind.CANT_DO: 1, Kind.RESET_ABILITIES: 0, Kind.PRE_SLEEP: 0, Kind.NOOP: 0,
     Kind.SUBMIT_JOB: 3, Kind.JOB_CREATED: 1, Kind.GRAB_JOB: 0, Kind.NO_JOB: 0, Kind.JOB_ASSIGN: 3,
     Kind.WORK_STATUS: 3, Kind.WORK_COMPLETE: 2, Kind.WORK_FAIL: 1, Kind.GET_STATUS: 1, Kind.ECHO_REQ: 1,
@@ -66,7 +68,7 @@
 
 
 class BadPacket(Exception):
-    """What came is no packet that we take. Where `fatal`, the stream cannot be followed any further."""
+    """The input is not a packet that is accepted here. If `fatal`, nothing after it can be parsed."""
 
     def __init__(self, code: str, text: str, fatal: bool = False) -> None:
         super().__init__(text)
@@ -75,6 +77,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Packet:
+    """A binary packet."""
+
     kind: Kind
     args: tuple[bytes, ...] = ()
 
@@ -87,75 +91,78 @@
 
 
 def pack(kind: Kind, *args: bytes, magic: bytes = RESPONSE) -> bytes:
+    """A packet as bytes."""
     body = b"\0".join(args)
-    return HEAD.pack(magic, kind, len(body)) + body
+    return HEADER.pack(magic, kind, len(body)) + body
 
 
 def unpack(kind: int, body: bytes) -> Packet:
-    """The packet of a whole body. Raises `BadPacket`."""
+    """The packet of type `kind` with this body, which must be complete. Raises `BadPacket`."""
     try:
-        known = Kind(kind)
+        packet_type = Kind(kind)
     except ValueError:
         raise BadPacket("UNKNOWN_COMMAND", f"packet type {kind} is not known here") from None
-    count = ARGUMENTS[known]
+    count = ARGUMENT_COUNTS[packet_type]
     if count == 0:
         if body:
-            raise BadPacket("BAD_ARGUMENTS", f"{known.name} has no arguments")
-        return Packet(known)
+            raise BadPacket("BAD_ARGUMENTS", f"{packet_type.name} has no arguments")
+        return Packet(packet_type)
     args = tuple(body.split(b"\0", count - 1))
     if len(args) != count:
-        raise BadPacket("BAD_ARGUMENTS", f"{known.name} has {count} arguments, not {len(args)}")
-    if any(len(a) > MOST_ARGS for a in args[:-1]) or len(args[-1]) > MOST_DATA:
-        raise BadPacket("TOO_LARGE", f"an argument of {known.name} is too long")
-    return Packet(known, args)
+        raise BadPacket("BAD_ARGUMENTS", f"{packet_type.name} has {count} arguments, not {len(args)}")
+    if any(len(a) > MAX_ARGUMENT_BYTES for a in args[:-1]) or len(args[-1]) > MAX_DATA_BYTES:
+        raise BadPacket("TOO_LARGE", f"an argument of {packet_type.name} is too long")
+    return Packet(packet_type, args)
 
 
 class Reader:
-    """Cuts a stream into packets and lines; binary and text may take turns."""
+    """Splits a stream into packets and text lines, which may alternate."""
 
     def __init__(self, magic: bytes = REQUEST) -> None:
         self._magic = magic
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Packet | Line | BadPacket]:
-        """What these bytes complete. A `BadPacket` in the list stands where the bad packet stood; after a
-        fatal one nothing more is read."""
+        """The packets and lines that these bytes complete. An invalid packet is represented by a `BadPacket`;
+        after a fatal one the rest of the input is dropped."""
         self._buffer += data
-        done: list[Packet | Line | BadPacket] = []
+        completed: list[Packet | Line | BadPacket] = []
         while self._buffer:
             try:
-                item = self._text() if self._buffer[0] else self._binary()
-            except BadPacket as bad:
-                done.append(bad)
-                if bad.fatal:
+                item = self._read_line() if self._buffer[0] else self._read_packet()
+            except BadPacket as error:
+                completed.append(error)
+                if error.fatal:
                     self._buffer.clear()
                     break
                 continue
             if item is None:
                 break
-            done.append(item)
-        return done
+            completed.append(item)
+        return completed
 
-    def _text(self) -> Line | None:
-        end = self._buffer.find(b"\n", 0, MOST_LINE)
+    def _read_line(self) -> Line | None:
+        """Take a text line from the buffer; None if it is not complete. Raises `BadPacket`."""
+        end = self._buffer.find(b"\n", 0, MAX_LINE_BYTES)
         if end < 0:
-            if len(self._buffer) >= MOST_LINE:
+            if len(self._buffer) >= MAX_LINE_BYTES:
                 raise BadPacket("TOO_LARGE", "a line is too long", fatal=True)
             return None
         text = bytes(self._buffer[:end]).decode("latin-1").strip()
         del self._buffer[: end + 1]
         return Line(text)
 
-    def _binary(self) -> Packet | None:
+    def _read_packet(self) -> Packet | None:
+        """Take a packet from the buffer; None if it is not complete. Raises `BadPacket`."""
         if not self._magic.startswith(bytes(self._buffer[:4])):
             raise BadPacket("BAD_MAGIC", "a packet begins with its magic bytes", fatal=True)
-        if len(self._buffer) < HEAD.size:
+        if len(self._buffer) < HEADER.size:
             return None
-        _, kind, size = HEAD.unpack_from(self._buffer)
-        if size > MOST_DATA + MOST_ARGS:
+        _, kind, size = HEADER.unpack_from(self._buffer)
+        if size > MAX_DATA_BYTES + MAX_ARGUMENT_BYTES:
             raise BadPacket("TOO_LARGE", f"a packet of {size} bytes is too large", fatal=True)
-        if len(self._buffer) < HEAD.size + size:
+        if len(self._buffer) < HEADER.size + size:
             return None
-        body = bytes(self._buffer[HEAD.size : HEAD.size + size])
-        del self._buffer[: HEAD.size + size]
+        body = bytes(self._buffer[HEADER.size : HEADER.size + size])
+        del self._buffer[: HEADER.size + size]
         return unpack(kind, body)
--- a/eiderpin/net/gearman_front.py
+++ b/eiderpin/net/gearman_front.py
@@ -1,12 +1,13 @@
-"""The Gearman front: Gearman clients' jobs become requests, Gearman workers become service entries.
+"""The Gearman front end: the jobs of Gearman clients become requests, and Gearman workers become endpoints.
 
-A function is a class. Where it maps what Gearman has no word for:
+A Gearman function is a class. What the protocol has no equivalent for is mapped as follows:
 
-- a turn-down is WORK_FAIL, after a WORK_EXCEPTION that says when to come back for clients that asked for
-  exceptions; a failure, or the class's deadline, is WORK_FAIL alone;
-- a worker's WORK_FAIL or WORK_EXCEPTION is an error, its drop a reset if it had grabbed the job and a failed
-  connect if it had not; a job placed on it and not grabbed in time was turned away;
-- a worker that withdraws all its functions drains, one whose connection ends is gone.
+- A rejection is WORK_FAIL. Clients that asked for exceptions first get a WORK_EXCEPTION that says when to
+  retry. A failure, or the deadline of the class, is WORK_FAIL alone.
+- A worker's WORK_FAIL or WORK_EXCEPTION is an error. If its connection breaks, that is a reset for the jobs
+  that it had grabbed, and a failed connect for the others. A job that was placed on it and not grabbed in
+  time was rejected.
+- A worker that withdraws all its functions is draining; one whose connection has ended is gone.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 from eiderpin.net.gearman import Kind, Line, Packet, Reader, pack
 from eiderpin.net.loop import Connection, Listener, Loop
 
-GRAB_WAIT = 1000.0  # ms in which a worker must grab what was placed on it
-MOST_OPEN = 1024  # jobs that one client connection may wait for
-MOST_PLACED = 2  # jobs placed on one worker connection, running ones included: it runs one at a time
-AWAY_EVERY = 200.0  # ms between looks for idle clients while they are sent away
-QUIET = 150.0  # ms without a packet after which a client is idle
+GRAB_TIMEOUT_MS = 1000.0  # for a worker to grab a job that was placed on it
+MAX_OPEN_JOBS = 1024  # that one client connection may wait for
+MAX_PLACED_JOBS = 2  # on one worker connection, the running one included: a worker runs one at a time
+DRAIN_INTERVAL_MS = 200.0  # between checks for idle clients while they are drained
+IDLE_AFTER_MS = 150.0  # without a packet from a client
 
-# priority, background
-SUBMITS = {
+# The packet types that submit a job, with its priority and whether it runs in the background.
+SUBMIT_KINDS = {
     Kind.SUBMIT_JOB: (0, False),
     Kind.SUBMIT_JOB_BG: (0, True),
     Kind.SUBMIT_JOB_HIGH: (1, False),
@@ -44,171 +45,186 @@
 
 
 class Submission:
-    """One client connection's wait for one request."""
+    """A job that a client connection has submitted and waits for."""
 
-    __slots__ = ("client", "request", "handle", "early")
+    __slots__ = ("client", "request", "handle", "early_answer")
 
     def __init__(self, client: GearmanConnection) -> None:
         self.client = client
         self.request: Request | None = None
         self.handle = b""
-        self.early: Answer | None = None  # given before JOB_CREATED could be written
+        self.early_answer: Answer | None = None  # received before JOB_CREATED could be sent
 
-    def created(self, request: Request, handle: bytes) -> None:
+    def confirm(self, request: Request, handle: bytes) -> None:
+        """Send JOB_CREATED, and the answer if there is one already."""
         self.request, self.handle = request, handle
-        self.client.put(Kind.JOB_CREATED, handle)
-        if self.early is not None:
-            self.answer(request, self.early)
+        self.client.send_packet(Kind.JOB_CREATED, handle)
+        if self.early_answer is not None:
+            self.answer(request, self.early_answer)
         else:
-            self.client.open.add(self)
+            self.client.open_submissions.add(self)
 
     def answer(self, request: Request, answer: Answer) -> None:
+        """Send the final answer, or keep it until the submission is confirmed."""
         if not self.handle:
-            self.early = answer
+            self.early_answer = answer
             return
-        self.client.open.discard(self)
+        self.client.open_submissions.discard(self)
         if answer.verdict is Verdict.SERVED:
-            self.client.put(Kind.WORK_COMPLETE, self.handle, answer.result)
+            self.client.send_packet(Kind.WORK_COMPLETE, self.handle, answer.result)
             return
         if answer.verdict is Verdict.TURNED_DOWN and self.client.wants_exceptions:
             wait = "" if answer.wait is None else f", come back after {answer.wait / 1000:.3f} s"
-            self.client.put(Kind.WORK_EXCEPTION, self.handle, f"turned down{wait}".encode())
-        self.client.put(Kind.WORK_FAIL, self.handle)
+            self.client.send_packet(Kind.WORK_EXCEPTION, self.handle, f"turned down{wait}".encode())
+        self.client.send_packet(Kind.WORK_FAIL, self.handle)
 
     def progress(self, request: Request, share: float) -> None:
+        """Send which share of the job is done, from 0 to 1."""
         if self.handle:
-            self.client.put(Kind.WORK_STATUS, self.handle, b"%d" % round(share * 100), b"100")
+            self.client.send_packet(Kind.WORK_STATUS, self.handle, b"%d" % round(share * 100), b"100")
 
     def data_part(self, request: Request, data: bytes, warning: bool) -> None:
+        """Send partial data, or a warning, from the worker."""
         if self.handle:
-            self.client.put(Kind.WORK_WARNING if warning else Kind.WORK_DATA, self.handle, data)
+            self.client.send_packet(Kind.WORK_WARNING if warning else Kind.WORK_DATA, self.handle, data)
 
     def has_left(self) -> bool:
+        """Whether the client has closed its side, even if that has not been handled yet."""
         return self.client.conn.closed or self.client.conn.has_ended()
 
 
 class GearmanConnection:
-    """One connection: a client, a worker or both."""
+    """A connection to the Gearman front end, of a client, a worker or both."""
 
     def __init__(self, front: GearmanFront, conn: Connection) -> None:
         self.front, self.conn, self.core = front, conn, front.core
         self.number = -1
-        self.last = front.loop.clock.now()
+        self.last_activity = front.loop.clock.now()
         self.reader = Reader()
         self.client_id = "-"
         self.wants_exceptions = False
-        self.open: set[Submission] = set()
-        self.unsaid: deque[list[Any]] = deque()  # answers to submissions, with whether they may be given
-        # as a worker
-        self.abilities: dict[str, float] = {}  # function to its time-out in ms, 0: none
+        self.open_submissions: set[Submission] = set()
+        # Replies to submissions, in their order: functions that send one, and whether it may be sent now.
+        self.pending_replies: deque[list[Any]] = deque()
+        # As a worker.
+        self.abilities: dict[str, float] = {}  # functions, and their time-outs in ms; 0: none
         self.entry: ServiceEntry | None = None
         self.asleep = False
         self.placed: deque[Attempt] = deque()
         self.running: dict[bytes, Attempt] = {}
-        self.waits: dict[Attempt, Deadline] = {}  # until a grab, then a function's own time-out
-        conn.on_data, conn.on_end = self.data, self.end
+        self.timeouts: dict[Attempt, Deadline] = {}  # for its grab, then the function's own
+        conn.on_data, conn.on_end = self.handle_data, self.handle_eof
 
-    def put(self, kind: Kind, *args: bytes) -> None:
+    def send_packet(self, kind: Kind, *args: bytes) -> None:
+        """Send one packet."""
         self.conn.write(pack(kind, *args))
 
-    def error(self, code: str, text: str) -> None:
+    def send_error(self, code: str, text: str) -> None:
+        """Count invalid input, and answer it with an ERROR packet."""
         self.core.counters.add("in.gearman_bad")
-        self.put(Kind.ERROR, code.encode(), text.encode())
+        self.send_packet(Kind.ERROR, code.encode(), text.encode())
 
-    def data(self, data: bytes) -> None:
-        self.last = self.front.loop.clock.now()
+    def handle_data(self, data: bytes) -> None:
+        """Parse received bytes, and handle the packets and text lines that they complete."""
+        self.last_activity = self.front.loop.clock.now()
         for item in self.reader.feed(data):
             if self.conn.closed:
                 return
             if isinstance(item, Packet):
-                self.packet(item)
+                self.handle_packet(item)
             elif isinstance(item, Line):
-                self.conn.write(self.front.admin(item.text))
+                self.conn.write(self.front.answer_line(item.text))
             else:
-                self.error(item.code, str(item))
+                self.send_error(item.code, str(item))
                 if item.fatal:
-                    self.end()
+                    self.handle_eof()
                     self.conn.close_when_sent()
                     return
 
-    def end(self) -> None:
-        """The peer has gone: what it waited for is left, what it had is lost."""
-        self.conn.on_end = _nothing
-        for submission in list(self.open):
+    def handle_eof(self) -> None:
+        """The peer has gone: abandon the jobs that it waited for, and end the attempts that it had."""
+        self.conn.on_end = _do_nothing
+        for submission in list(self.open_submissions):
             if submission.request is not None:
                 self.core.detach(submission.request, submission)
-        self.open.clear()
+        self.open_submissions.clear()
         for attempt in list(self.placed):
-            self.drop_wait(attempt)
+            self.cancel_timeout(attempt)
             self.core.ended(attempt, api.Outcome.NOT_CONNECTED)
         self.placed.clear()
         for attempt in list(self.running.values()):
-            self.drop_wait(attempt)
+            self.cancel_timeout(attempt)
             self.core.ended(attempt, api.Outcome.RESET)
         self.running.clear()
         if self.entry is not None:
-            self.tell(api.WorkerState.GONE)
-            del self.core.entries[self.entry.name]  # it never comes back by that name
+            self.publish_state(api.WorkerState.GONE)
+            del self.core.entries[self.entry.name]  # the name is never used again
             self.entry = None
         self.front.connections.remove(self.number)
 
-    def packet(self, packet: Packet) -> None:
+    def handle_packet(self, packet: Packet) -> None:
+        """Handle one packet of a client or a worker."""
         kind, args = packet.kind, packet.args
         self.core.counters.add("in.gearman_packets")
-        if kind in SUBMITS:
+        if kind in SUBMIT_KINDS:
             self.submit(kind, *args)
         elif kind is Kind.ECHO_REQ:
-            self.put(Kind.ECHO_RES, args[0])
+            self.send_packet(Kind.ECHO_RES, args[0])
         elif kind is Kind.GET_STATUS:
-            self.put(Kind.STATUS_RES, args[0], *self.front.status_of(self.front.request_of(args[0])))
+            self.send_packet(
+                Kind.STATUS_RES, args[0], *self.front.status_of(self.front.find_request(args[0]))
+            )
         elif kind is Kind.GET_STATUS_UNIQUE:
             request = self.core.request_by_unique(_text(args[0]))
-            known, running, done, of = self.front.status_of(request)
+            known, running, numerator, denominator = self.front.status_of(request)
             waiting = len(request.waiters) if request is not None else 0
-            self.put(Kind.STATUS_RES_UNIQUE, args[0], known, running, done, of, b"%d" % waiting)
+            self.send_packet(
+                Kind.STATUS_RES_UNIQUE, args[0], known, running, numerator, denominator, b"%d" % waiting
+            )
         elif kind is Kind.OPTION_REQ:
             if args[0] == b"exceptions":
                 self.wants_exceptions = True
-                self.put(Kind.OPTION_RES, args[0])
+                self.send_packet(Kind.OPTION_RES, args[0])
             else:
-                self.error("UNKNOWN_OPTION", "the one option is exceptions")
+                self.send_error("UNKNOWN_OPTION", "the one option is exceptions")
         elif kind is Kind.SET_CLIENT_ID:
             self.client_id = "".join(c if c.isprintable() and c != " " else "_" for c in _text(args[0]))[:64]
         elif kind in (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT):
-            self.can_do(_text(args[0]), args[1] if len(args) > 1 else b"0")
+            self.add_ability(_text(args[0]), args[1] if len(args) > 1 else b"0")
         elif kind is Kind.CANT_DO:
-            self.withdraw([_text(args[0])])
+            self.remove_abilities([_text(args[0])])
         elif kind is Kind.RESET_ABILITIES:
-            self.withdraw(list(self.abilities))
+            self.remove_abilities(list(self.abilities))
         elif kind is Kind.PRE_SLEEP:
             self.asleep = True
             if self.placed:
                 self.wake()
         elif kind in (Kind.GRAB_JOB, Kind.GRAB_JOB_UNIQ):
-            self.grab(kind is Kind.GRAB_JOB_UNIQ)
+            self.assign_job(kind is Kind.GRAB_JOB_UNIQ)
         elif kind in (Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.WORK_EXCEPTION):
-            self.work_ended(kind, args)
+            self.handle_work_end(kind, args)
         elif kind in (Kind.WORK_STATUS, Kind.WORK_DATA, Kind.WORK_WARNING):
-            self.work_goes_on(kind, args)
+            self.handle_work_progress(kind, args)
         elif kind is not Kind.ALL_YOURS:
-            self.error("UNEXPECTED", f"{kind.name} is not for a job server")
+            self.send_error("UNEXPECTED", f"{kind.name} is not for a job server")
 
-    # -- as a client
+    # As a client.
 
     def submit(self, kind: Kind, function: bytes, unique: bytes, body: bytes) -> None:
+        """Submit a job to the dispatcher, and reply with its handle or an error."""
         cls = _text(function)
         spec = self.core.classes.get(cls)
         if spec is None:
-            self.error("UNKNOWN_FUNCTION", f"there is no class {cls!r}")
+            self.send_error("UNKNOWN_FUNCTION", f"there is no class {cls!r}")
             return
-        if len(self.open) >= MOST_OPEN:
-            self.error("TOO_MANY", "this connection waits for too many jobs")
+        if len(self.open_submissions) >= MAX_OPEN_JOBS:
+            self.send_error("TOO_MANY", "this connection waits for too many jobs")
             return
-        # By the protocol's custom a unique id of one dash stands for the data itself.
+        # By convention of the protocol, a unique id of one dash stands for the data itself.
         name = _text(unique)
         if unique == b"-":
             name = "data-" + hashlib.sha1(function + b"\0" + body).hexdigest()
-        priority, background = SUBMITS[kind]
+        priority, background = SUBMIT_KINDS[kind]
         request = Request(
             cls, name, b"/" + function, body, self.core.clock.now() + spec.deadline,
             priority=priority, background=background,
@@ -217,79 +233,87 @@
         try:
             joined = self.core.submit(request, None if background else submission)
         except OtherJob:
-            self.error("OTHER_JOB", f"the unique id {name!r} is that of a job that asked for something else")
+            self.send_error(
+                "OTHER_JOB", f"the unique id {name!r} is that of a job that asked for something else"
+            )
             return
         handle = self.front.handle_of(joined)
         if not background:
-            self.say_in_turn(lambda: submission.created(joined, handle))
+            self.reply_in_order(lambda: submission.confirm(joined, handle))
         elif joined.job and self.core.keeper is not None:
-            # That a job has been taken on is said once it outlives us.
-            self.core.keeper.when_kept(joined, self.say_later(lambda: self.put(Kind.JOB_CREATED, handle)))
+            # The job is confirmed once it is on disk, so that it outlives this process.
+            self.core.keeper.when_kept(
+                joined, self.defer_reply(lambda: self.send_packet(Kind.JOB_CREATED, handle))
+            )
         elif self.core.is_durable(cls) and not joined.job and request is joined:
-            self.say_in_turn(self.not_taken)
+            self.reply_in_order(self.send_not_taken)
         else:
-            self.say_in_turn(lambda: self.put(Kind.JOB_CREATED, handle))
+            self.reply_in_order(lambda: self.send_packet(Kind.JOB_CREATED, handle))
 
-    def not_taken(self) -> None:
-        self.error("NOT_TAKEN", "the disk of durable jobs takes nothing now: come back later")
+    def send_not_taken(self) -> None:
+        """Reply that a durable job could not be accepted, since it could not be written to disk."""
+        self.send_error("NOT_TAKEN", "the disk of durable jobs takes nothing now: come back later")
 
-    def say_in_turn(self, say: Callable[[], None]) -> None:
-        """Clients take answers to submissions in the order of these."""
-        if self.unsaid:
-            self.unsaid.append([say, True])
+    def reply_in_order(self, send_reply: Callable[[], None]) -> None:
+        """Send the reply to a submission after those to earlier ones: clients match them by their order."""
+        if self.pending_replies:
+            self.pending_replies.append([send_reply, True])
         else:
-            say()
+            send_reply()
 
-    def say_later(self, say: Callable[[], None]) -> Callable[[bool], None]:
-        """The answer to this submission, which is given when the returned call is made."""
-        waits: list[Any] = [say, False]
-        self.unsaid.append(waits)
+    def defer_reply(self, send_reply: Callable[[], None]) -> Callable[[bool], None]:
+        """Hold back the reply to a submission until the returned function is called, with whether the job was
+        written to disk. Replies to later submissions wait, too."""
+        pending: list[Any] = [send_reply, False]
+        self.pending_replies.append(pending)
 
-        def ready(ok: bool) -> None:
-            waits[:] = [say if ok else self.not_taken, True]
-            while self.unsaid and self.unsaid[0][1] and not self.conn.closed:
-                self.unsaid.popleft()[0]()
+        def release(ok: bool) -> None:
+            pending[:] = [send_reply if ok else self.send_not_taken, True]
+            while self.pending_replies and self.pending_replies[0][1] and not self.conn.closed:
+                self.pending_replies.popleft()[0]()
 
-        return ready
+        return release
 
     def answer_all(self) -> int:
-        """Answer all that is open here; how many answers that were."""
-        answered = len(self.open) + len(self.unsaid)
-        unsaid, self.unsaid = self.unsaid, deque()
-        for say, may_be_said in unsaid:
-            (say if may_be_said else self.not_taken)()
-        for submission in list(self.open):
+        """Answer every open submission, since the process exits; returns how many."""
+        answered = len(self.open_submissions) + len(self.pending_replies)
+        pending, self.pending_replies = self.pending_replies, deque()
+        for send_reply, may_be_sent in pending:
+            (send_reply if may_be_sent else self.send_not_taken)()
+        for submission in list(self.open_submissions):
             if submission.request is not None:
                 self.core.answer_waiter(submission.request, submission)
         return answered
 
-    # -- as a worker
+    # As a worker.
 
-    def can_do(self, function: str, timeout: bytes) -> None:
+    def add_ability(self, function: str, timeout: bytes) -> None:
+        """Note a function that the worker offers; `timeout` is in whole seconds, as received."""
         if not timeout.isdigit():
-            self.error("BAD_ARGUMENTS", "a time-out is a number of seconds")
+            self.send_error("BAD_ARGUMENTS", "a time-out is a number of seconds")
             return
         self.abilities[function] = min(int(timeout), 86400) * 1000.0
         if function in self.core.classes:
-            self.tell(api.WorkerState.IN_SERVICE)
+            self.publish_state(api.WorkerState.IN_SERVICE)
 
-    def withdraw(self, functions: list[str]) -> None:
-        """What was placed but not grabbed goes back at once: a drain's grace need not be used up."""
+    def remove_abilities(self, functions: list[str]) -> None:
+        """Remove functions that the worker no longer offers. Jobs of theirs that were placed and not grabbed
+        are taken back at once, without waiting for the drain's grace."""
         for function in functions:
             self.abilities.pop(function, None)
-        for attempt in [s for s in self.placed if s.request.cls not in self.abilities]:
+        for attempt in [a for a in self.placed if a.request.cls not in self.abilities]:
             self.placed.remove(attempt)
-            self.drop_wait(attempt)
+            self.cancel_timeout(attempt)
             self.core.ended(attempt, api.Outcome.NOT_SENT)
         if self.entry is not None:
             serves = any(f in self.core.classes for f in self.abilities)
-            self.tell(api.WorkerState.IN_SERVICE if serves else api.WorkerState.DRAINING)
+            self.publish_state(api.WorkerState.IN_SERVICE if serves else api.WorkerState.DRAINING)
 
-    def tell(self, state: api.WorkerState) -> None:
-        """Tell the core of this worker as it now stands."""
+    def publish_state(self, state: api.WorkerState) -> None:
+        """Report this worker to the dispatcher, with its state and the classes that it serves now."""
         now = self.core.clock.now()
         classes = frozenset(f for f in self.abilities if f in self.core.classes)
-        name = self.entry.name if self.entry is not None else f"gearman-{self.front.next_worker()}"
+        name = self.entry.name if self.entry is not None else f"gearman-{self.front.next_worker_number()}"
         born = self.entry.listed.born if self.entry is not None else now
         listed = api.WorkerEntry(
             name, self.core.settings.zone, "gearman", -1, state, born=born, classes=classes, slots=1.0
@@ -298,33 +322,37 @@
         self.entry = self.core.entries[name]
 
     def place(self, attempt: Attempt) -> None:
-        if len(self.placed) + len(self.running) >= MOST_PLACED:
+        """Offer a job to the worker, and wake it if it sleeps. It must grab the job within a time limit."""
+        if len(self.placed) + len(self.running) >= MAX_PLACED_JOBS:
             self.core.ended(attempt, api.Outcome.REJECTED)
             return
         self.placed.append(attempt)
-        at = self.core.clock.now() + GRAB_WAIT
-        self.waits[attempt] = self.core.deadlines.set(at, lambda: self.not_grabbed(attempt))
+        at = self.core.clock.now() + GRAB_TIMEOUT_MS
+        self.timeouts[attempt] = self.core.deadlines.set(at, lambda: self.handle_grab_timeout(attempt))
         if self.asleep:
             self.wake()
 
     def wake(self) -> None:
+        """Tell a sleeping worker that it may grab a job."""
         self.asleep = False
-        self.put(Kind.NOOP)
+        self.send_packet(Kind.NOOP)
 
-    def not_grabbed(self, attempt: Attempt) -> None:
+    def handle_grab_timeout(self, attempt: Attempt) -> None:
+        """Take back a job that the worker has not grabbed in time."""
         if attempt in self.placed:
             self.placed.remove(attempt)
-            self.waits.pop(attempt, None)
+            self.timeouts.pop(attempt, None)
             self.core.ended(attempt, api.Outcome.REJECTED)
 
-    def grab(self, with_unique: bool) -> None:
-        """Hand out what the decisions placed here, and nothing else."""
+    def assign_job(self, with_unique: bool) -> None:
+        """Answer a worker that grabs a job with one that was placed on it, or with NO_JOB."""
         self.asleep = False
         while self.placed:
             attempt = self.placed.popleft()
-            self.drop_wait(attempt)
+            self.cancel_timeout(attempt)
             if not self.core.may_begin(attempt):
-                # The first byte counts for a drain: its grace has passed while the job waited here.
+                # For example, its client has left, or the grace of a drain, which counts up to the first byte
+                # sent, has passed while the job was placed here.
                 self.core.ended(attempt, api.Outcome.NOT_SENT)
                 continue
             request = attempt.request
@@ -332,35 +360,37 @@
             self.running[handle] = attempt
             if with_unique:
                 unique = request.unique.encode("latin-1", "replace")
-                self.put(Kind.JOB_ASSIGN_UNIQ, handle, request.cls.encode(), unique, request.body)
+                self.send_packet(Kind.JOB_ASSIGN_UNIQ, handle, request.cls.encode(), unique, request.body)
             else:
-                self.put(Kind.JOB_ASSIGN, handle, request.cls.encode(), request.body)
-            if not attempt.ended:  # else the connection broke under the write
+                self.send_packet(Kind.JOB_ASSIGN, handle, request.cls.encode(), request.body)
+            if not attempt.ended:  # otherwise the connection broke during the write
                 self.core.written(attempt)
                 self.core.progress(attempt, True)
-                self.limit_run(handle, attempt)
+                self.start_run_timeout(handle, attempt)
             return
-        self.put(Kind.NO_JOB)
+        self.send_packet(Kind.NO_JOB)
 
-    def limit_run(self, handle: bytes, attempt: Attempt) -> None:
-        """A worker may give a time-out with its function (CAN_DO_TIMEOUT)."""
-        limit = self.abilities.get(attempt.request.cls, 0.0)
-        if limit:
-            at = self.core.clock.now() + limit
-            self.waits[attempt] = self.core.deadlines.set(at, lambda: self.overran(handle))
+    def start_run_timeout(self, handle: bytes, attempt: Attempt) -> None:
+        """Start the time-out that the worker gave with the function (CAN_DO_TIMEOUT), if it gave one."""
+        timeout_ms = self.abilities.get(attempt.request.cls, 0.0)
+        if timeout_ms:
+            at = self.core.clock.now() + timeout_ms
+            self.timeouts[attempt] = self.core.deadlines.set(at, lambda: self.handle_run_timeout(handle))
 
-    def overran(self, handle: bytes) -> None:
+    def handle_run_timeout(self, handle: bytes) -> None:
+        """End an attempt that has run for longer than the worker's own time-out."""
         attempt = self.running.pop(handle, None)
         if attempt is not None:
-            self.waits.pop(attempt, None)
+            self.timeouts.pop(attempt, None)
             self.core.ended(attempt, api.Outcome.TIMED_OUT)
 
-    def work_ended(self, kind: Kind, args: tuple[bytes, ...]) -> None:
+    def handle_work_end(self, kind: Kind, args: tuple[bytes, ...]) -> None:
+        """Handle a worker's final report on a job: its result or a failure."""
         attempt = self.running.pop(args[0], None)
         if attempt is None:
             self.core.counters.add("in.gearman_stray")
             return
-        self.drop_wait(attempt)
+        self.cancel_timeout(attempt)
         if kind is not Kind.WORK_COMPLETE:
             self.core.ended(attempt, api.Outcome.ERROR)
         elif attempt.ended:
@@ -368,7 +398,8 @@
         else:
             self.core.ended(attempt, api.Outcome.DONE, args[1])
 
-    def work_goes_on(self, kind: Kind, args: tuple[bytes, ...]) -> None:
+    def handle_work_progress(self, kind: Kind, args: tuple[bytes, ...]) -> None:
+        """Pass a worker's progress or partial data on to whoever waits for the job."""
         attempt = self.running.get(args[0])
         if attempt is None or attempt.ended:
             return
@@ -378,26 +409,30 @@
         else:
             self.core.data_part(attempt, args[1], kind is Kind.WORK_WARNING)
 
-    def drop_wait(self, attempt: Attempt) -> None:
-        self.core.deadlines.drop(self.waits.pop(attempt, None))
+    def cancel_timeout(self, attempt: Attempt) -> None:
+        """Cancel the time-out of an attempt, if one is set."""
+        self.core.deadlines.drop(self.timeouts.pop(attempt, None))
 
 
 class GearmanFront:
-    """The listener of Gearman clients and workers; also the link to those workers."""
+    """Accepts the connections of Gearman clients and workers; also the `WorkerLink` to those workers."""
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, address: tuple[str, int], name: str, most: int,
+        self, loop: Loop, core: Dispatcher, address: tuple[str, int], name: str, max_connections: int,
         shared: bool = False,
     ) -> None:  # fmt: skip
+        """`name` is the dispatcher's and is part of each handle. With `shared` an old and a new process may
+        both bind the address, and nothing is accepted until the listener is started."""
         self.loop, self.core, self.name = loop, core, name
-        self.most = most
+        self.most = max_connections
         self.connections: SlotTable[GearmanConnection] = SlotTable()
-        self._workers = 0
-        self._away: Deadline | None = None  # the next look for idle clients, while they are sent away
-        self._kept = 0
-        self.listener = Listener(loop, address, self.taken, on=not shared, shared=shared)
+        self._last_worker_number = 0
+        self._drain_timer: Deadline | None = None  # the next check for idle clients, while they are drained
+        self._stored_answer_handles = 0  # handles given to requests that were answered at once
+        self.listener = Listener(loop, address, self.accept_connection, on=not shared, shared=shared)
 
-    def taken(self, conn: Connection) -> None:
+    def accept_connection(self, conn: Connection) -> None:
+        """Take on a new connection, unless there are too many."""
         self.core.counters.add("in.gearman_connections")
         if len(self.connections) >= self.most:
             conn.close()
@@ -406,39 +441,47 @@
         connection = GearmanConnection(self, conn)
         connection.number = self.connections.add(connection)
 
-    def send_away(self, away: bool, after: float) -> None:
-        """Whether idle clients are closed, `after` ms from now and again and again. Workers stay, and so do
-        clients whose jobs are under way: the protocol has no word for them."""
-        if not away:
-            self.loop.deadlines.drop(self._away)
-            self._away = None
-        elif self._away is None:
-            self._away = self.loop.deadlines.set(self.loop.clock.now() + after, self.look_for_idle)
-
-    def look_for_idle(self) -> None:
+    def send_away(self, draining: bool, after: float) -> None:
+        """Start closing idle clients, `after` ms from now and then repeatedly, or stop it. Workers stay, and
+        so do clients that wait for jobs: the protocol has no way to ask them to leave."""
+        if not draining:
+            self.loop.deadlines.drop(self._drain_timer)
+            self._drain_timer = None
+        elif self._drain_timer is None:
+            self._drain_timer = self.loop.deadlines.set(self.loop.clock.now() + after, self.close_idle)
+
+    def close_idle(self) -> None:
+        """Close the connections of idle clients, and schedule the next check."""
         now = self.loop.clock.now()
-        for c in self.connections.all():
-            works = c.entry is not None or c.abilities or c.running
-            idle = not works and not c.open and not c.conn.unsent and now - c.last > QUIET
-            if idle and not c.conn.has_input():
-                c.end()
-                c.conn.close_when_sent()
-        self._away = self.loop.deadlines.set(now + AWAY_EVERY, self.look_for_idle)
+        for connection in self.connections.all():
+            is_worker = connection.entry is not None or connection.abilities or connection.running
+            is_idle = (
+                not is_worker
+                and not connection.open_submissions
+                and not connection.conn.unsent
+                and now - connection.last_activity > IDLE_AFTER_MS
+            )
+            if is_idle and not connection.conn.has_input():
+                connection.handle_eof()
+                connection.conn.close_when_sent()
+        self._drain_timer = self.loop.deadlines.set(now + DRAIN_INTERVAL_MS, self.close_idle)
 
     def answer_all(self) -> int:
-        """Answer what clients wait for, for the process ends; how many answers that were."""
+        """Answer every open submission, since the process exits; returns how many."""
         answered = 0
         for connection in self.connections.all():
             answered += connection.answer_all()
         return answered
 
-    def next_worker(self) -> int:
-        self._workers += 1
-        return self._workers
+    def next_worker_number(self) -> int:
+        """A number for the next worker's name."""
+        self._last_worker_number += 1
+        return self._last_worker_number
 
-    # -- what the core asks of a worker link
+    # The interface of a `WorkerLink`.
 
     def send(self, attempt: Attempt) -> None:
+        """Offer a job to its worker."""
         connection = attempt.entry.address
         if isinstance(connection, GearmanConnection) and not connection.conn.closed:
             connection.place(attempt)
@@ -446,34 +489,37 @@
             self.core.ended(attempt, api.Outcome.NOT_CONNECTED)
 
     def cancel(self, attempt: Attempt) -> None:
-        """What was not grabbed is taken back; a worker that runs a job cannot be told to stop."""
+        """Take back a job that was not grabbed; a worker that runs a job cannot be told to stop."""
         connection = attempt.entry.address
         if isinstance(connection, GearmanConnection) and attempt in connection.placed:
             connection.placed.remove(attempt)
-            connection.drop_wait(attempt)
+            connection.cancel_timeout(attempt)
 
     def probe(self, entry: ServiceEntry) -> None:
+        """Report at once whether the worker's connection is open."""
         connection = entry.address
         up = isinstance(connection, GearmanConnection) and not connection.conn.closed
         self.core.probed(entry, up, 0.0)
 
     def entry_changed(self, entry: ServiceEntry) -> None:
-        """Nothing to do: the connection itself is the entry."""
+        """Do nothing: the connection itself is the worker's address."""
 
     def may_move(self, attempt: Attempt) -> bool:
-        """Its end comes on this worker's connection, and nowhere else."""
+        """False: the result can come only on this worker's connection."""
         return False
 
-    # -- handles, status and the text protocol
+    # Handles, status and the text protocol.
 
     def handle_of(self, request: Request) -> bytes:
-        """A request's handle; one that ended at once, with a kept result, gets one of its own."""
+        """A request's handle. A request that was answered at once, with a stored result, has no id and gets a
+        handle of its own."""
         if request.id < 0:
-            self._kept += 1
-            return f"H:{self.name}:k{self._kept}".encode()
+            self._stored_answer_handles += 1
+            return f"H:{self.name}:k{self._stored_answer_handles}".encode()
         return f"H:{self.name}:{request.id}".encode()
 
-    def request_of(self, handle: bytes) -> Request | None:
+    def find_request(self, handle: bytes) -> Request | None:
+        """The request with this handle, unless it is not known or has ended."""
         start = f"H:{self.name}:".encode()
         number = handle[len(start) :]
         request = None
@@ -482,13 +528,15 @@
         return request if request is not None and not request.ended else None
 
     def status_of(self, request: Request | None) -> tuple[bytes, bytes, bytes, bytes]:
-        """Known, running, and the share done as a fraction."""
+        """Whether the job is known, whether it runs, and the share done as numerator and denominator: the
+        arguments of STATUS_RES."""
         if request is None or request.ended:
             return b"0", b"0", b"0", b"0"
-        running = any(s.accepted and not s.ended for s in request.attempts)
+        running = any(a.accepted and not a.ended for a in request.attempts)
         return b"1", b"%d" % running, b"%d" % round(request.share * 100), b"100"
 
-    def admin(self, line: str) -> bytes:
+    def answer_line(self, line: str) -> bytes:
+        """The reply to a command of the text protocol."""
         if line == "version":
             return f"OK {VERSION}\n".encode()
         if line == "status":
@@ -500,32 +548,34 @@
         return b"ERR UNKNOWN_COMMAND Unknown+server+command\n"
 
     def _status_lines(self) -> list[str]:
+        """A line for each class: its open jobs, how many of them run, and the workers that serve it."""
         lines = []
-        requests = [f for f in self.core.requests.all() if not f.ended]
+        requests = [r for r in self.core.requests.all() if not r.ended]
         for cls in self.core.classes:
-            of_class = [f for f in requests if f.cls == cls]
-            running = sum(any(s.accepted and not s.ended for s in f.attempts) for f in of_class)
-            able = [e for e in self.core.entries.values() if e.in_service]
-            workers = sum(e.listed.classes is None or cls in e.listed.classes for e in able)
+            of_class = [r for r in requests if r.cls == cls]
+            running = sum(any(a.accepted and not a.ended for a in r.attempts) for r in of_class)
+            in_service = [e for e in self.core.entries.values() if e.in_service]
+            workers = sum(e.listed.classes is None or cls in e.listed.classes for e in in_service)
             lines.append(f"{cls}\t{len(of_class)}\t{running}\t{workers}\n")
         return lines
 
     def _worker_lines(self) -> list[str]:
+        """A line for each connection: its number, address, client id and functions."""
         lines = []
-        for c in self.connections.all():
+        for connection in self.connections.all():
             try:
-                peer = str(c.conn.sock.getpeername()[0])
+                peer = str(connection.conn.sock.getpeername()[0])
             except OSError:
                 peer = "-"
-            names = "".join(f" {name}" for name in c.abilities)
-            lines.append(f"{c.number} {peer} {c.client_id} :{names}\n")
+            names = "".join(f" {name}" for name in connection.abilities)
+            lines.append(f"{connection.number} {peer} {connection.client_id} :{names}\n")
         return lines
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return None
 
 
 def _text(data: bytes) -> str:
-    """Names and ids as text, byte for byte."""
+    """Bytes of a name or an id as text, one character for each byte."""
     return data.decode("latin-1")
--- a/tests/test_gearman.py
+++ b/tests/test_gearman.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from eiderpin.net.gearman import (
-    ARGUMENTS,
-    MOST_ARGS,
-    MOST_DATA,
-    MOST_LINE,
+    ARGUMENT_COUNTS,
+    MAX_ARGUMENT_BYTES,
+    MAX_DATA_BYTES,
+    MAX_LINE_BYTES,
     BadPacket,
     Kind,
     Line,
@@ -33,7 +33,7 @@
     def test_every_kind_there_and_back_in_pieces_of_any_size(self) -> None:
         packets = [
             Packet(k, tuple(b"arg%d" % i if i < n - 1 else b"da\0ta" for i in range(n)))
-            for k, n in ARGUMENTS.items()
+            for k, n in ARGUMENT_COUNTS.items()
         ]
         stream = b"".join(pack(p.kind, *p.args, magic=REQ) for p in packets)
         for size in (1, 2, 11, 12, 13, len(stream)):
@@ -55,12 +55,12 @@
             (head(7, 3) + b"f\0u", ["BAD_ARGUMENTS"]),
             (head(9, 1) + b"x", ["BAD_ARGUMENTS"]),
             (head(999, 2) + b"xx" + head(9, 0), ["UNKNOWN_COMMAND", Packet(Kind.GRAB_JOB)]),
-            (head(1, MOST_ARGS + MOST_DATA + 1), ["TOO_LARGE!"]),
-            (head(7, MOST_ARGS + 4) + b"f" * (MOST_ARGS + 1) + b"\0u\0", ["TOO_LARGE"]),
-            (head(16, MOST_DATA + 1) + b"x" * (MOST_DATA + 1), ["TOO_LARGE"]),
+            (head(1, MAX_ARGUMENT_BYTES + MAX_DATA_BYTES + 1), ["TOO_LARGE!"]),
+            (head(7, MAX_ARGUMENT_BYTES + 4) + b"f" * (MAX_ARGUMENT_BYTES + 1) + b"\0u\0", ["TOO_LARGE"]),
+            (head(16, MAX_DATA_BYTES + 1) + b"x" * (MAX_DATA_BYTES + 1), ["TOO_LARGE"]),
             (b"\0RES" + head(9, 0)[4:] + head(9, 0), ["BAD_MAGIC!"]),
             (b"\0\0\0\0", ["BAD_MAGIC!"]),
-            (b"x" * MOST_LINE, ["TOO_LARGE!"]),
+            (b"x" * MAX_LINE_BYTES, ["TOO_LARGE!"]),
         ]
         for data, expected in cases:
             with self.subTest(data=data[:40]):
