--- a/eiderpin/net/agent_check.py
+++ b/eiderpin/net/agent_check.py
@@ -1,4 +1,4 @@
-"""HAProxy's agent-check: one line to whoever connects, the same that `/_health` goes by."""
+"""HAProxy's agent-check: each caller is sent one line with the state that `/_health` reports."""
 
 from __future__ import annotations
 
@@ -8,24 +8,28 @@
 
 
 class AgentCheck:
+    """The listener for agent-checks. `readiness` returns the line to send; at most `max_connections` callers
+    are served at once. With `shared` an old and a new process may both bind the address, and nothing is
+    accepted until the listener is started."""
+
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
         readiness: Callable[[], str],
-        most: int,
+        max_connections: int,
         shared: bool = False,
     ) -> None:
-        self.readiness, self.most = readiness, most  # `most` callers at once
-        self.open: list[Connection] = []
-        self.listener = Listener(loop, address, self.taken, on=not shared, shared=shared)
+        self.readiness, self.most = readiness, max_connections
+        self.open_connections: list[Connection] = []
+        self.listener = Listener(loop, address, self.accept_connection, on=not shared, shared=shared)
 
-    def taken(self, conn: Connection) -> None:
-        """Some balancers send a line of their own first; it is not needed, and not waited for."""
-        self.open = [c for c in self.open if not c.closed]
-        if len(self.open) >= self.most:
+    def accept_connection(self, conn: Connection) -> None:
+        """Send the state and close. A line that some balancers send first is not needed, nor waited for."""
+        self.open_connections = [c for c in self.open_connections if not c.closed]
+        if len(self.open_connections) >= self.most:
             conn.close()
             return
-        self.open.append(conn)
+        self.open_connections.append(conn)
         conn.write(self.readiness().encode() + b"\n")
         conn.close_when_sent()
--- a/eiderpin/net/management.py
+++ b/eiderpin/net/management.py
@@ -1,5 +1,8 @@
-"""The operators' door: one line in on each connection, one reply out. The calls are the service's. A further
-part may have calls of its own, with more to say in a line (`store {...}`), answered later or bit by bit."""
+"""The management API for operators: a caller sends one line on a connection and gets one reply.
+
+The calls themselves belong to the service. An optional feature may have calls of its own, such as
+`store {...}`: their lines may be longer, and their replies may come later or in several lines.
+"""
 
 from __future__ import annotations
 
@@ -10,121 +13,134 @@
 from eiderpin.core.deadlines import Deadline
 from eiderpin.net.loop import Connection, Listener, Loop
 
-MOST_LINE = 256  # bytes of a call
-PATIENCE = 2000.0  # ms, from the connection on, in which a call must have come whole and its reply be taken
+MAX_LINE_BYTES = 256  # of a call, unless it is an extension's
+# For receiving a call completely and for its reply to be taken, counted from the connection.
+CALL_TIMEOUT_MS = 2000.0
 
 
-class Part(Protocol):
-    """A further part's calls."""
+class Extension(Protocol):
+    """The calls of an optional feature."""
 
     most_line: int
 
-    def call(self, caller: Call, said: bytes) -> None:
-        """One line, less its first word. `caller` is to be answered sooner or later."""
+    def call(self, caller: Call, arguments: bytes) -> None:
+        """Handle one call: `arguments` is its line without the first word. `caller` must get a reply, at once
+        or later."""
         ...
 
 
 class Call:
-    """One caller's connection."""
-
-    __slots__ = ("door", "conn", "line", "limit", "on_gone")
-
-    def __init__(self, door: Management, conn: Connection) -> None:
-        self.door, self.conn = door, conn
-        self.line = b""
-        self.on_gone: Callable[[], None] = _nothing
-        self.limit: Deadline | None = door.loop.deadlines.set(door.loop.clock.now() + PATIENCE, self.too_slow)
-        conn.on_data, conn.on_end, conn.on_closed = self.data, self.end, self.closed
-
-    def data(self, data: bytes) -> None:
-        part = self.door.part_of(self.line[:64] + data[:64])
-        most = part.most_line if part is not None else MOST_LINE
-        line, ended, _ = (self.line + data[: most + 1]).partition(b"\n")
-        if ended and part is not None and len(line) <= most:
-            self.conn.on_data = _ignore
-            part.call(self, line.partition(b" ")[2])
-        elif ended or len(line) > most:
-            self.reply(self.door.answer(line if ended and len(line) <= most else None))
+    """One caller's connection to the management API."""
+
+    __slots__ = ("management", "conn", "received", "timeout", "on_gone")
+
+    def __init__(self, management: Management, conn: Connection) -> None:
+        self.management, self.conn = management, conn
+        self.received = b""
+        self.on_gone: Callable[[], None] = _do_nothing
+        self.timeout: Deadline | None = management.loop.deadlines.set(
+            management.loop.clock.now() + CALL_TIMEOUT_MS, self.handle_timeout
+        )
+        conn.on_data, conn.on_end, conn.on_closed = self.handle_data, self.handle_eof, self.handle_close
+
+    def handle_data(self, data: bytes) -> None:
+        """Collect the line, and handle the call once it is complete or too long."""
+        extension = self.management.extension_for(self.received[:64] + data[:64])
+        max_bytes = extension.most_line if extension is not None else MAX_LINE_BYTES
+        line, newline, _ = (self.received + data[: max_bytes + 1]).partition(b"\n")
+        if newline and extension is not None and len(line) <= max_bytes:
+            self.conn.on_data = _discard
+            extension.call(self, line.partition(b" ")[2])
+        elif newline or len(line) > max_bytes:
+            self.reply(self.management.answer(line if newline and len(line) <= max_bytes else None))
         else:
-            self.line = line
+            self.received = line
 
     def reply(self, text: str) -> None:
-        self.conn.on_data = _ignore
+        """Send the last line of the reply, and close."""
+        self.conn.on_data = _discard
         self.conn.write(text.encode() + b"\n")
         self.conn.close_when_sent()
 
     def say(self, text: str) -> None:
-        """A line that is not the last."""
+        """Send a line of the reply that is not the last."""
         self.conn.write(text.encode() + b"\n")
 
     def wait(self, ms: float | None) -> None:
-        """The answer may take so long from now on; None: it has no end."""
-        deadlines, now = self.door.loop.deadlines, self.door.loop.clock.now()
-        deadlines.drop(self.limit)
-        self.limit = deadlines.set(now + ms, self.too_slow) if ms is not None else None
+        """Let the reply take up to `ms` from now on; None: without limit."""
+        deadlines, now = self.management.loop.deadlines, self.management.loop.clock.now()
+        deadlines.drop(self.timeout)
+        self.timeout = deadlines.set(now + ms, self.handle_timeout) if ms is not None else None
 
-    def end(self) -> None:
-        """The caller has gone; with its line unended there is nobody left to tell."""
+    def handle_eof(self) -> None:
+        """Do nothing: a caller that has gone before the end of its line gets no reply."""
 
-    def too_slow(self) -> None:
-        self.door.counters.add("in.calls_silent")
+    def handle_timeout(self) -> None:
+        """Close the connection of a caller that is too slow."""
+        self.management.counters.add("in.calls_silent")
         self.conn.close()
 
-    def closed(self) -> None:
-        self.door.loop.deadlines.drop(self.limit)
-        self.door.open.pop(self, None)
+    def handle_close(self) -> None:
+        """Release what belongs to the connection, and notify whoever was going to reply."""
+        self.management.loop.deadlines.drop(self.timeout)
+        self.management.open_connections.pop(self, None)
         self.on_gone()
 
 
 class Management:
+    """The listener of the management API. `calls` maps the name of each call to the function that returns its
+    reply; at most `max_connections` callers are connected at once."""
+
     def __init__(
         self,
         loop: Loop,
         counters: Counters,
         address: tuple[str, int],
         calls: Mapping[str, Callable[[], str]],
-        most: int,
+        max_connections: int,
     ) -> None:
         self.loop, self.counters, self.calls = loop, counters, calls
-        self.most = most  # callers open at once
-        self.parts: dict[str, Part] = {}
-        self.open: dict[Call, None] = {}  # in the order of their coming
-        self.listener = Listener(loop, address, self.taken)
-
-    def taken(self, conn: Connection) -> None:
-        if len(self.open) >= self.most:
-            # Who is here longest has had the most time: those who say nothing must not keep others out.
-            next(iter(self.open)).conn.close()
+        self.most = max_connections
+        self.parts: dict[str, Extension] = {}  # by the first word of their calls
+        self.open_connections: dict[Call, None] = {}  # the oldest first
+        self.listener = Listener(loop, address, self.accept_connection)
+
+    def accept_connection(self, conn: Connection) -> None:
+        """Take on a new caller, and close the oldest connection if there are too many."""
+        if len(self.open_connections) >= self.most:
+            # The oldest has had the most time; callers that send nothing must not keep others out.
+            next(iter(self.open_connections)).conn.close()
             self.counters.add("in.calls_crowded")
-        self.open[Call(self, conn)] = None
+        self.open_connections[Call(self, conn)] = None
 
-    def part_of(self, line: bytes) -> Part | None:
-        """Whose call it is, by its first word."""
-        for name, part in self.parts.items():
+    def extension_for(self, line: bytes) -> Extension | None:
+        """The extension whose call begins `line`, by its first word; None if it is none of theirs."""
+        for name, extension in self.parts.items():
             if line.startswith(name.encode() + b" "):
-                return part
+                return extension
         return None
 
     def answer(self, line: bytes | None) -> str:
-        """The reply to one line; None: it was too long."""
+        """The reply to one line; None stands for a line that was too long."""
         if line is None:
-            return self.refused(f"a call is one line of up to {MOST_LINE} bytes")
+            return self.reject(f"a call is one line of up to {MAX_LINE_BYTES} bytes")
         name = line.decode("latin-1").strip()
         call = self.calls.get(name)
         if call is None:
             known = ", ".join(self.calls)
-            return self.refused(f"no such call; there are: {known}" if name else f"which call? {known}")
+            return self.reject(f"no such call; there are: {known}" if name else f"which call? {known}")
         self.counters.add(f"in.calls.{name}")
         return call()
 
-    def refused(self, text: str) -> str:
+    def reject(self, text: str) -> str:
+        """Count a call that is not valid, and return the reply to it."""
         self.counters.add("in.calls_bad")
         return f"fail {text}"
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return None
 
 
-def _ignore(data: bytes) -> None:
-    """One line is all that a connection carries."""
+def _discard(data: bytes) -> None:
+    """Drop received bytes: a connection carries one line only."""
