--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""The platform's front over real sockets: one test for each rule of the protocol."""
+"""The HTTP front end over real sockets: one test for each rule of the protocol."""
 
 from __future__ import annotations
 
@@ -21,42 +21,42 @@
 
 
 def raw(address: str, data: bytes) -> bytes:
-    """What comes back for these bytes, until the connection ends."""
+    """Send these bytes on a new connection, and return what is received until it ends."""
     host, port = address.split(":")
     with socket.create_connection((host, int(port)), timeout=20) as sock:
         sock.sendall(data)
         return rest(sock)
 
 
-def never(worker: HttpWorker, rid: str, handler: Any) -> None:
-    """Take the job and tell nothing more of it."""
+def never_finish(worker: HttpWorker, rid: str, handler: Any) -> None:
+    """Accept a job, and never report on it."""
     worker.ran[rid] += 1
     handler.say(202)
 
 
 class Serving(unittest.TestCase):
-    def test_a_job_is_passed_on_unchanged_and_its_result_comes_back(self) -> None:
+    def test_a_job_is_sent_to_its_worker_unchanged_and_the_client_gets_the_result(self) -> None:
         worker = HttpWorker("h1")
         with running([worker]) as (program, _):
             path = "/time-lookup/race/7?club=caf%C3%A9"
-            got = http_call(program.edge, "POST", path, b"\0body", Req_Id="a1", Req_Deadline_Ms="5000")
-            self.assertEqual(got[:2], (200, b"h1 ran a1"))
+            answer = http_call(program.edge, "POST", path, b"\0body", Req_Id="a1", Req_Deadline_Ms="5000")
+            self.assertEqual(answer[:2], (200, b"h1 ran a1"))
             _, seen_path, headers, body = worker.seen[0]
             self.assertEqual((seen_path, headers["req-id"], body), (path, "a1", b"\0body"))
             self.assertTrue(0 < int(headers["req-deadline-ms"]) <= 5000)
             counters = program.counters()
             self.assertEqual((counters["answer.time-lookup.succeeded"], counters["out.attempts"]), (1, 1))
 
-    def test_bad_requests_get_their_status(self) -> None:
+    def test_each_kind_of_invalid_request_gets_its_status(self) -> None:
         head = b"POST /time-lookup HTTP/1.1\r\nHost: x\r\n"
-        ask = head + b"Req-Id: %d\r\nConnection: close\r\n"
+        job_head = head + b"Req-Id: %d\r\nConnection: close\r\n"
         cases = [
             (b"nonsense\r\n\r\n", 400),
             (b"GET / HTTP/1.1\r\nbad header\r\n\r\n", 400),
             (head + b"Connection: close\r\nContent-Length: 0\r\n\r\n", 400),
-            (ask % 1 + b"Req-Deadline-Ms: soon\r\nContent-Length: 0\r\n\r\n", 400),
-            (ask % 2 + b"Content-Length: 65537\r\n\r\n", 413),
-            (ask % 3 + b"Transfer-Encoding: chunked\r\n\r\n10001\r\n" + b"x" * 65537, 413),
+            (job_head % 1 + b"Req-Deadline-Ms: soon\r\nContent-Length: 0\r\n\r\n", 400),
+            (job_head % 2 + b"Content-Length: 65537\r\n\r\n", 413),
+            (job_head % 3 + b"Transfer-Encoding: chunked\r\n\r\n10001\r\n" + b"x" * 65537, 413),
             (head + b"X: " + b"x" * 40000, 431),
             (b"GET /time-lookup HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 405),
             (b"POST /_health HTTP/1.1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", 405),
@@ -71,23 +71,26 @@
                     self.assertEqual(raw(program.edge, data)[:13], b"HTTP/1.1 %d " % status)
             self.assertEqual(http_call(program.edge, "GET", "/_health")[0], 200)
 
-    def test_call_backs_are_always_answered_and_may_come_before_the_202(self) -> None:
-        def early(worker: HttpWorker, rid: str, handler: Any) -> None:
+    def test_call_backs_are_always_answered_even_before_the_202_is_sent(self) -> None:
+        """A worker may call back before it has answered the dispatcher's request, more often than needed, and
+        for a job that is not known."""
+
+        def call_back_first(worker: HttpWorker, rid: str, handler: Any) -> None:
             statuses.append(worker.tell(rid, "started"))
             statuses.append(worker.tell(rid, "done", result="early"))
             statuses.append(worker.tell(rid, "done", result="again"))
             handler.say(202)
 
         statuses: list[int] = []
-        worker = HttpWorker("h1", early)
+        worker = HttpWorker("h1", call_back_first)
         with running([worker]) as (program, _):
-            got = http_call(program.edge, "POST", "/result-post", b"", Req_Id="a1")
-            self.assertEqual(got[:2], (200, b"early"))
+            answer = http_call(program.edge, "POST", "/result-post", b"", Req_Id="a1")
+            self.assertEqual(answer[:2], (200, b"early"))
             wait_for(lambda: len(statuses) == 3, "the call-backs")
             statuses.append(worker.tell("unknown", "running", share=0.5))
             self.assertEqual(statuses, [204] * 4)
 
-    def test_call_backs_that_are_none(self) -> None:
+    def test_malformed_call_backs_are_rejected_and_unknown_content_is_ignored(self) -> None:
         cases = [
             (b"", 400), (b"[1,2", 400), (b"[]", 400), (b"{}", 400), (b'{"id":1,"state":"done"}', 400),
             (b'{"id":"a","state":[]}', 400), (b'{"id":"a","state":"odd"}', 204),
@@ -98,21 +101,22 @@
                 with self.subTest(body=body):
                     self.assertEqual(http_call(program.edge, "POST", "/_jobs/news", body)[0], status)
 
-    def test_outcomes_and_what_they_lead_to_for_jobs_that_may_run_again(self) -> None:
-        self.outcomes("time-lookup", [(200, 2)] * 8)
+    def test_after_each_failure_of_a_worker_a_repeatable_job_is_sent_again(self) -> None:
+        self.check_outcomes("time-lookup", [(200, 2)] * 8)
 
-    def test_outcomes_and_what_they_lead_to_for_jobs_that_must_not_run_twice(self) -> None:
-        self.outcomes("result-post", [
+    def test_a_job_that_must_not_run_twice_is_sent_again_only_if_it_cannot_have_run(self) -> None:
+        self.check_outcomes("result-post", [
             (500, 1), (200, 2), (200, 2), (500, 1), (500, 1), (200, 2), (500, 1), (500, 1),
         ])  # fmt: skip
 
-    def outcomes(self, cls: str, expected: list[tuple[int, int]]) -> None:
-        """For each thing that a worker may do: the answer to a job, and how often it is sent."""
+    def check_outcomes(self, cls: str, expected: list[tuple[int, int]]) -> None:
+        """Check what follows when the first worker rejects a job or fails. `expected` holds for each case the
+        status of the client's answer and how often the job is sent."""
 
-        def say(status: int, **headers: str) -> Any:
+        def respond(status: int, **headers: str) -> Any:
             return lambda worker, rid, handler: handler.say(status, **headers)
 
-        def tell(state: str) -> Any:
+        def call_back(state: str) -> Any:
             def act(worker: HttpWorker, rid: str, handler: Any) -> None:
                 handler.say(202)
                 worker.tell(rid, state)
@@ -123,31 +127,32 @@
             handler.connection.shutdown(socket.SHUT_RDWR)
 
         cases: list[tuple[str, Any]] = [
-            ("500", say(500)),
-            ("503 declined", say(503, Srv_Declined="1")),
-            ("504 declined", say(504, Srv_Declined="1")),
-            ("503 alone", say(503)),
-            ("failed", tell("failed")),
-            ("returned", tell("returned")),
-            ("lost", tell("lost")),
+            ("500", respond(500)),
+            ("503 declined", respond(503, Srv_Declined="1")),
+            ("504 declined", respond(504, Srv_Declined="1")),
+            ("503 alone", respond(503)),
+            ("failed", call_back("failed")),
+            ("returned", call_back("returned")),
+            ("lost", call_back("lost")),
             ("cut", cut),
         ]
         for (name, act), (status, sends) in zip(cases, expected, strict=True):
             with self.subTest(name=name, cls=cls):
-                first: list[str] = []
+                sent_to: list[str] = []
 
-                def once(worker: HttpWorker, rid: str, handler: Any, act: Any = act,
-                         first: list[str] = first) -> None:  # fmt: skip
-                    first.append(worker.name)
-                    (act if len(first) == 1 else HttpWorker.serve)(worker, rid, handler)
+                def act_once(worker: HttpWorker, rid: str, handler: Any, act: Any = act,
+                             sent_to: list[str] = sent_to) -> None:  # fmt: skip
+                    sent_to.append(worker.name)
+                    (act if len(sent_to) == 1 else HttpWorker.serve)(worker, rid, handler)
 
-                workers = [HttpWorker("h1", once), HttpWorker("h2", once)]
+                workers = [HttpWorker("h1", act_once), HttpWorker("h2", act_once)]
                 with running(workers) as (program, _):
-                    got = http_call(program.edge, "POST", f"/{cls}", b"", Req_Id="a1")
-                    self.assertEqual((got[0], len(first)), (status, sends))
-                    self.assertEqual(len(set(first)), sends)
+                    answer = http_call(program.edge, "POST", f"/{cls}", b"", Req_Id="a1")
+                    self.assertEqual((answer[0], len(sent_to)), (status, sends))
+                    self.assertEqual(len(set(sent_to)), sends)
 
-    def test_a_refused_connection_never_ran(self) -> None:
+    def test_a_job_whose_connection_was_refused_is_sent_to_another_worker(self) -> None:
+        """It cannot have run, so that even a result-post may be sent again."""
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
             port = closed.getsockname()[1]
@@ -157,40 +162,43 @@
                 worker = HttpWorker("h1")
                 worker.back = program.edge
                 threading.Timer(0.3, lambda: discovery.list("h1", worker.port)).start()
-                got = http_call(program.edge, "POST", "/result-post", b"", Req_Id="a1")
-                self.assertEqual(got[:2], (200, b"h1 ran a1"))
+                answer = http_call(program.edge, "POST", "/result-post", b"", Req_Id="a1")
+                self.assertEqual(answer[:2], (200, b"h1 ran a1"))
                 self.assertGreaterEqual(program.counters()["out.ended.not_connected"], 1)
                 worker.stop()
 
     def test_the_answer_comes_before_the_deadline(self) -> None:
-        """Nothing has run: turned down, and told when to come back. It may have run: failed."""
-        with running([HttpWorker("h1", never)]) as (program, discovery):
+        """A job that has not run is rejected, with a time after which to retry. One that may have run, and
+        must not run twice, fails."""
+        with running([HttpWorker("h1", never_finish)]) as (program, discovery):
             for cls, statuses in (("time-lookup", (503, 503)), ("result-post", (500, 503))):
                 for served, status in zip((True, False), statuses, strict=True):
                     discovery.list("h1", discovery_port(discovery), "Ready" if served else "Gone")
                     wait_for(lambda d=discovery: d.told == d.generation, "the list")
                     start = time.monotonic()
-                    got = http_call(
+                    answer = http_call(
                         program.edge, "POST", f"/{cls}", b"", Req_Id=f"{cls}{served}", Req_Deadline_Ms="600",
                         Req_Cost="100000",
                     )  # fmt: skip
-                    self.assertEqual(got[0], status)
+                    self.assertEqual(answer[0], status)
                     self.assertLess(time.monotonic() - start, 0.6)
                     if status == 503:
-                        self.assertTrue(0 < float(got[2]["retry-after"]) <= 2.0)
+                        self.assertTrue(0 < float(answer[2]["retry-after"]) <= 2.0)
 
-    def test_a_client_that_goes_takes_its_request_along(self) -> None:
-        worker = HttpWorker("h1", never)
+    def test_a_job_whose_client_leaves_is_cancelled(self) -> None:
+        worker = HttpWorker("h1", never_finish)
         with running([worker]) as (program, _):
             host, port = program.edge.split(":")
             with socket.create_connection((host, int(port))) as sock:
                 sock.sendall(b"POST /time-lookup HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 0\r\n\r\n")
                 wait_for(lambda: worker.ran["a1"], "the job to start")
-            # The 202 has been read by then or has not: it is called off either way.
+            # It is cancelled whether or not the worker's 202 has been read by then.
             wait_for(lambda: program.counters().get("out.ended.cancelled"), "the cancel")
-            wait_for(lambda: any(s[:2] == ("DELETE", "/jobs/a1") for s in worker.seen), "the DELETE")
+            wait_for(
+                lambda: any(request[:2] == ("DELETE", "/jobs/a1") for request in worker.seen), "the DELETE"
+            )
 
-    def test_one_connection_serves_many_jobs_and_survives_a_broken_kept_alive_one(self) -> None:
+    def test_one_connection_of_a_client_serves_many_jobs_and_those_to_workers_are_reused(self) -> None:
         worker = HttpWorker("h1")
         with running([worker]) as (program, _):
             host, port = program.edge.split(":")
@@ -200,11 +208,13 @@
                         b"POST /time-lookup HTTP/1.1\r\nReq-Id: k%d\r\nContent-Length: 0\r\n\r\n" % i
                     )
                     self.assertIn(b"200 OK", sock.recv(65536))
-            jobs = [s for s in worker.seen if s[0] == "POST"]
+            jobs = [request for request in worker.seen if request[0] == "POST"]
             self.assertEqual(len(jobs), 5)
             self.assertLess(worker.connections, 5)
 
-    def test_a_broken_kept_alive_connection_is_a_reset_and_nothing_is_sent_again(self) -> None:
+    def test_a_job_is_not_sent_again_if_a_kept_alive_connection_breaks_after_it(self) -> None:
+        """The job may have run on that connection's worker. The client gets an error."""
+
         def cut_second(worker: HttpWorker, rid: str, handler: Any) -> None:
             worker.ran[rid] += 1
             if rid == "k2":
@@ -215,10 +225,11 @@
 
         worker = HttpWorker("h1", cut_second)
         with running([worker]) as (program, _):
-            asked = [http_call(program.edge, "POST", "/result-post", Req_Id=f"k{i}")[0] for i in (1, 2)]
-            self.assertEqual((asked, worker.ran["k2"]), ([200, 500], 1))
+            statuses = [http_call(program.edge, "POST", "/result-post", Req_Id=f"k{i}")[0] for i in (1, 2)]
+            self.assertEqual((statuses, worker.ran["k2"]), ([200, 500], 1))
 
-    def test_idle_connections_are_retired_well_before_their_workers_close_them(self) -> None:
+    def test_idle_connections_to_workers_are_closed_well_before_the_workers_close_them(self) -> None:
+        """A job sent just as its worker closes the connection could be lost."""
         settings = {**SETTINGS, "limits": {**SETTINGS["limits"], "conn_idle": 2000.0}}
         worker = HttpWorker("h1")
         with running([worker], settings=settings) as (program, _):
@@ -227,10 +238,12 @@
                 self.assertEqual(http_call(program.edge, "POST", "/time-lookup", Req_Id=f"k{i}")[0], 200)
                 self.assertEqual(worker.connections, connections)
 
-    def test_what_lies_between_may_forget_an_idle_connection(self) -> None:
-        """A result-post is not risked on one; a time-lookup goes again, and the worker is not blamed."""
+    def test_jobs_succeed_though_a_middlebox_drops_idle_connections_to_workers(self) -> None:
+        """Something on the way to the worker drops connections that have been idle for a moment. A
+        result-post is not sent on an idle connection; a time-lookup is sent again, and the worker is not
+        ejected."""
 
-        def forget(worker: HttpWorker, rid: str, handler: Any) -> None:
+        def drop_if_idle(worker: HttpWorker, rid: str, handler: Any) -> None:
             now, last = time.monotonic(), getattr(handler, "last", None)
             handler.last = now
             if last is not None and now - last > 0.1:
@@ -238,26 +251,26 @@
             else:
                 worker.serve(rid, handler)
 
-        worker = HttpWorker("h1", forget)
+        worker = HttpWorker("h1", drop_if_idle)
         with running([worker]) as (program, _):
             for i in range(4):
                 for cls in ("result-post", "time-lookup"):
                     start = time.monotonic()
                     self.assertEqual(http_call(program.edge, "POST", f"/{cls}", Req_Id=f"{cls}{i}")[0], 200)
-                    self.assertLess(time.monotonic() - start, 1.0)  # a failing worker rests for longer
+                    self.assertLess(time.monotonic() - start, 1.0)  # a worker is ejected for longer
                     time.sleep(0.15)
             self.assertEqual(set(worker.ran.values()), {1})
             self.assertGreaterEqual(program.counters()["out.stale"], 1)
 
 
-class BadClients(unittest.TestCase):
-    """Each is owed an error or a close within 3 s of connecting; usual clients must not feel it."""
+class MisbehavingClients(unittest.TestCase):
+    """Each must get an error or a close within 3 s of connecting, and other clients must not be affected."""
 
     def test_the_id_of_another_request_is_a_conflict(self) -> None:
-        go = threading.Event()
+        may_finish = threading.Event()
 
         def wait(worker: HttpWorker, rid: str, handler: Any) -> None:
-            go.wait(20)
+            may_finish.wait(20)
             worker.serve(rid, handler)
 
         worker = HttpWorker("h1", wait)
@@ -270,15 +283,15 @@
             )
             first.start()
             wait_for(lambda: worker.seen, "the job to be out")
-            again = [http_call(program.edge, "POST", f"/{cls}", Req_Id="same")[0]
-                     for cls in ("result-post", "time-lookup")]  # fmt: skip
-            go.set()
+            statuses = [http_call(program.edge, "POST", f"/{cls}", Req_Id="same")[0]
+                        for cls in ("result-post", "time-lookup")]  # fmt: skip
+            may_finish.set()
             first.join()
-            again.append(http_call(program.edge, "POST", "/result-post", Req_Id="same")[0])
-            self.assertEqual((answers, again), ([(200, b"h1 ran same")], [409, 409, 409]))
+            statuses.append(http_call(program.edge, "POST", "/result-post", Req_Id="same")[0])
+            self.assertEqual((answers, statuses), ([(200, b"h1 ran same")], [409, 409, 409]))
             self.assertEqual(worker.ran, {"same": 1})
 
-    def test_silence_and_half_a_request_end_in_time_and_kept_alive_connections_stay(self) -> None:
+    def test_silent_and_incomplete_connections_are_closed_in_time_and_kept_alive_ones_stay(self) -> None:
         ask = b"POST /time-lookup HTTP/1.1\r\nReq-Id: %s\r\nContent-Length: 0\r\n\r\n"
         cases = [(b"", b""), (b"\r\n", b"HTTP/1.1 408 "), (b"POST /time", b"HTTP/1.1 408 "),
                  (ask[:-2] % b"h", b"HTTP/1.1 408 "),
@@ -292,31 +305,34 @@
                 socks = [socket.create_connection((host, int(port)), timeout=20) for _ in cases]
                 for sock, (data, _) in zip(socks, cases, strict=True):
                     sock.sendall(data)
-                for _ in range(15):  # a trickle puts nothing off
+                for _ in range(15):  # sending slowly must not extend the time limit
                     time.sleep(0.1)
                     for sock, (data, _) in zip(socks, cases, strict=True):
                         sock.sendall(b"" if data.endswith(b"9\r\n\r\n") else b"\r\n"[: 2 * (data == b"\r\n")])
                     socks[2].sendall(b"x")
-                for sock, (data, said) in zip(socks, cases, strict=True):
+                for sock, (data, answer) in zip(socks, cases, strict=True):
                     with self.subTest(data=data), sock:
-                        self.assertEqual(sock.recv(13), said)
+                        self.assertEqual(sock.recv(13), answer)
                 self.assertLess(time.monotonic() - start, 3.0)
                 kept.sendall(ask % b"k2")
                 self.assertIn(b"200 OK", kept.recv(65536))
 
-    def test_an_error_is_not_lost_to_a_reset(self) -> None:
-        """A client that reads only once all is sent hears of the 413 all the same."""
+    def test_an_error_is_not_destroyed_by_a_reset(self) -> None:
+        """A client that reads only after it has sent everything must still get the 413."""
         with running([HttpWorker("h1")]) as (program, _):
             head = b"POST /time-lookup HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 20000000\r\n\r\n"
             self.assertEqual(raw(program.edge, head + bytes(20_000_000))[:13], b"HTTP/1.1 413 ")
 
-    def test_who_asks_for_what_there_is_not_and_stays_is_left_no_connection(self) -> None:
+    def test_the_connection_is_closed_after_a_request_for_an_unknown_path(self) -> None:
+        """Clients with wrong requests must not keep descriptors."""
         with running([HttpWorker("h1")]) as (program, _):
-            ask = b"POST /time-lookups HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 0\r\n\r\n"
-            got = raw(program.edge, ask)  # until the other side ends it
-            self.assertTrue(got.startswith(b"HTTP/1.1 404 ") and b"Connection: close" in got)
+            request = b"POST /time-lookups HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 0\r\n\r\n"
+            answer = raw(program.edge, request)  # until the dispatcher closes the connection
+            self.assertTrue(answer.startswith(b"HTTP/1.1 404 ") and b"Connection: close" in answer)
 
-    def test_a_flood_of_those_who_want_nothing_leaves_kept_alive_connections_alone(self) -> None:
+    def test_a_flood_of_connections_without_jobs_does_not_close_kept_alive_ones(self) -> None:
+        """There are more of them than there is room for. Clients that have sent jobs keep their connections,
+        and a new client still gets one."""
         ask = b"POST /time-lookup HTTP/1.1\r\nReq-Id: %s\r\nContent-Length: 0\r\n\r\n"
         with running([HttpWorker("h1")], limits={"sockets": 256}) as (program, _):
             host, port = program.edge.split(":")
@@ -325,36 +341,37 @@
                 def connect() -> socket.socket:
                     return held.enter_context(socket.create_connection((host, int(port)), timeout=20))
 
-                usual = [connect() for _ in range(85)]
-                for i, sock in enumerate(usual):
+                kept_alive = [connect() for _ in range(85)]
+                for i, sock in enumerate(kept_alive):
                     sock.sendall(ask % b"u%d" % i)
                     self.assertIn(b"200 OK", sock.recv(65536))
                 for i in range(400):
-                    idler = connect()
+                    without_job = connect()
                     if i % 2:
-                        idler.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
+                        without_job.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
                 new = connect()
                 new.sendall(ask % b"new")
                 self.assertIn(b"200 OK", new.recv(65536))
-                for i, sock in enumerate(usual):
+                for i, sock in enumerate(kept_alive):
                     sock.sendall(ask % b"v%d" % i)
                     self.assertIn(b"200 OK", sock.recv(65536))
                 self.assertGreater(program.counters()["in.made_room"], 100)
 
-    def test_a_job_sent_in_pieces_outlasts_a_crowd_of_halves(self) -> None:
-        """Its pieces come for over 2 s, while more than there is room for begin a request and stay."""
+    def test_a_job_sent_slowly_is_not_closed_to_make_room_for_incomplete_requests(self) -> None:
+        """It is sent in parts for over 2 s, while more clients than there is room for begin a request and
+        stay."""
         worker = HttpWorker("h1")
         with running([worker], limits={"sockets": 96}) as (program, _), contextlib.ExitStack() as held:
             host, port = program.edge.split(":")
             slow = held.enter_context(socket.create_connection((host, int(port)), timeout=20))
-            whole = b"POST /time-lookup HTTP/1.1\r\nReq-Id: slow\r\nContent-Length: 10\r\n\r\n0123456789"
-            step = len(whole) // 5
+            request = b"POST /time-lookup HTTP/1.1\r\nReq-Id: slow\r\nContent-Length: 10\r\n\r\n0123456789"
+            step = len(request) // 5
             start = time.monotonic()
             for i in range(6):
                 for _ in range(20):
-                    half = held.enter_context(socket.create_connection((host, int(port)), timeout=20))
-                    half.sendall(whole[:20])
-                slow.sendall(whole[i * step : (i + 1) * step] if i < 5 else whole[5 * step :])
+                    partial = held.enter_context(socket.create_connection((host, int(port)), timeout=20))
+                    partial.sendall(request[:20])
+                slow.sendall(request[i * step : (i + 1) * step] if i < 5 else request[5 * step :])
                 time.sleep(max(0.0, start + 0.45 * (i + 1) - time.monotonic()) if i < 5 else 0)
             self.assertGreater(time.monotonic() - start, 2.2)
             self.assertIn(b"slow", slow.recv(65536))
@@ -381,43 +398,44 @@
             queues.move(connection, None)
         self.assertIsNone(queues.next_candidate(1e9))
 
-    def test_bodies_past_the_memory_for_them_are_turned_down(self) -> None:
-        worker = HttpWorker("h1", never)
+    def test_jobs_are_rejected_while_the_memory_for_bodies_is_used_up(self) -> None:
+        """The memory is available again once the clients that used it have left."""
+        worker = HttpWorker("h1", never_finish)
         with running([worker], limits={"sockets": 1024, "memory_mb": 16}) as (program, _):
             host, port = program.edge.split(":")
             with contextlib.ExitStack() as held:
-                got = []
+                socks = []
                 for i in range(36):  # 36 times 60,000 bytes are over 16 MB / 8
                     sock = held.enter_context(socket.create_connection((host, int(port)), timeout=20))
                     sock.sendall(b"POST /result-post HTTP/1.1\r\nReq-Id: m%d\r\n" % i)
                     sock.sendall(b"Content-Length: 60000\r\n\r\n" + bytes(60000))
-                    got.append(sock)
-                wait_for(lambda: program.counters().get("in.over_memory", 0) >= 2, "the turn-downs")
-                self.assertEqual(got[-1].recv(13), b"HTTP/1.1 503 ")
-            wait_for(lambda: program.counters().get("in.clients_gone") == 34, "the others to go")
-            refused = program.counters()["in.over_memory"]
+                    socks.append(sock)
+                wait_for(lambda: program.counters().get("in.over_memory", 0) >= 2, "the rejections")
+                self.assertEqual(socks[-1].recv(13), b"HTTP/1.1 503 ")
+            wait_for(lambda: program.counters().get("in.clients_gone") == 34, "the others to leave")
+            rejected = program.counters()["in.over_memory"]
             http_call(program.edge, "POST", "/result-post", bytes(60000), Req_Id="z", Req_Deadline_Ms="100")
-            self.assertEqual(program.counters()["in.over_memory"], refused)
+            self.assertEqual(program.counters()["in.over_memory"], rejected)
 
 
 class Draining(unittest.TestCase):
-    def test_nothing_goes_to_a_draining_worker(self) -> None:
+    def test_no_job_is_sent_to_a_draining_worker(self) -> None:
         workers = [HttpWorker("h1"), HttpWorker("h2")]
         with running(workers) as (program, discovery):
             discovery.list("h1", workers[0].port, "Terminating")
-            wait_for(lambda: discovery.told == discovery.generation, "the drain to be told")
-            time.sleep(0.6)  # the rule's grace
+            wait_for(lambda: discovery.told == discovery.generation, "the drain to be listed")
+            time.sleep(0.6)  # longer than a drain's grace
             for i in range(20):
                 self.assertEqual(http_call(program.edge, "POST", "/time-lookup", b"", Req_Id=f"d{i}")[0], 200)
             self.assertEqual((len(workers[0].ran), len(workers[1].ran)), (0, 20))
 
-    def test_discovery_that_falls_silent_is_asked_again(self) -> None:
+    def test_a_discovery_service_that_stops_answering_is_asked_again(self) -> None:
         worker = HttpWorker("h1")
         with running([worker]) as (program, discovery):
             discovery.silent = True
             discovery.list("h1", worker.port)  # ends the watch that is under way
-            asked = discovery.asked
-            wait_for(lambda: discovery.asked > asked + 1, "it to be asked again")
+            asked_before = discovery.asked
+            wait_for(lambda: discovery.asked > asked_before + 1, "it to be asked again")
             self.assertGreaterEqual(program.counters()["in.discovery_silent"], 1)
             discovery.silent = False
             new = HttpWorker("h2")
@@ -426,7 +444,8 @@
             wait_for(lambda: discovery.told == discovery.generation, "the new list")
             new.stop()
 
-    def test_a_known_list_is_enough_to_start_with(self) -> None:
+    def test_a_configured_list_of_workers_is_enough_to_start_with(self) -> None:
+        """Discovery does not answer; the workers of the last known list are in the configuration."""
         worker = HttpWorker("h1")
         known = {"generation": 3, "reset": True, "instances": [
             {"instanceId": "h1", "hostPort": f"127.0.0.1:{worker.port}", "zone": "a", "machineType": "m",
@@ -435,12 +454,14 @@
             self.assertEqual(http_call(program.edge, "GET", "/_health")[0], 200)
         worker.stop()
 
-    def test_sigterm_serves_what_comes_and_then_ends(self) -> None:
-        go = threading.Event()
+    def test_after_sigterm_jobs_are_served_until_the_process_exits(self) -> None:
+        """Balancers learn of the drain, but jobs that arrive meanwhile must get their answers, and so must
+        those that were under way."""
+        may_finish = threading.Event()
 
         def wait(worker: HttpWorker, rid: str, handler: Any) -> None:
             def finish() -> None:
-                go.wait(20)
+                may_finish.wait(20)
                 worker.tell(rid, "done", result="late but whole")
 
             threading.Thread(target=finish, daemon=True).start()
@@ -451,7 +472,7 @@
             self.assertRegex(raw(program.at["agent-check"], b""), rb"^up \d+%\n$")
             answers: list[tuple[int, bytes, dict[str, str]]] = []
 
-            def ask(rid: str) -> threading.Thread:
+            def submit_in_thread(rid: str) -> threading.Thread:
                 def call() -> None:
                     answers.append(http_call(program.edge, "POST", "/result-post", b"", Req_Id=rid))
 
@@ -459,46 +480,46 @@
                 thread.start()
                 return thread
 
-            before = ask("t1")
+            before = submit_in_thread("t1")
             wait_for(lambda: len(worker.seen) == 1, "the first job to be out")
             program.process.send_signal(signal.SIGTERM)
-            wait_for(lambda: raw(program.at["agent-check"], b"") == b"drain\n", "the drain to be told")
+            wait_for(lambda: raw(program.at["agent-check"], b"") == b"drain\n", "the drain to be reported")
             self.assertEqual(http_call(program.edge, "GET", "/_health")[:2], (503, b"drain\n"))
-            after = ask("t2")
+            after = submit_in_thread("t2")
             wait_for(lambda: len(worker.seen) == 2, "the second job to be out")
-            go.set()
+            may_finish.set()
             before.join()
             after.join()
-            self.assertEqual([a[:2] for a in answers], [(200, b"late but whole")] * 2)
-            self.assertEqual({a[2].get("connection") for a in answers}, {"close"})
+            self.assertEqual([answer[:2] for answer in answers], [(200, b"late but whole")] * 2)
+            self.assertEqual({answer[2].get("connection") for answer in answers}, {"close"})
             self.assertEqual(program.process.wait(20), 0)
             program.reading.join(20)
             self.assertIn("answer.result-post.succeeded 2", program.lines)
 
-    def test_sigterm_waits_for_a_job_that_is_half_sent(self) -> None:
+    def test_after_sigterm_a_job_that_is_partly_received_is_waited_for(self) -> None:
         with running([HttpWorker("h1")]) as (program, _):
             host, port = program.edge.split(":")
-            whole = b"POST /time-lookup HTTP/1.1\r\nReq-Id: h\r\nContent-Length: 4\r\n\r\nbody"
+            request = b"POST /time-lookup HTTP/1.1\r\nReq-Id: h\r\nContent-Length: 4\r\n\r\nbody"
             with socket.create_connection((host, int(port)), timeout=20) as sock:
-                sock.sendall(whole[:-4])
+                sock.sendall(request[:-4])
                 program.counters()
                 program.process.send_signal(signal.SIGTERM)
-                time.sleep(1.2)  # without it the program would have ended by now
-                sock.sendall(whole[-4:])
+                time.sleep(1.2)  # without the partly received job the process would have exited by now
+                sock.sendall(request[-4:])
                 self.assertIn(b"200 OK", sock.recv(65536))
 
 
 class Reloading(unittest.TestCase):
-    def test_the_watch_moves_and_all_else_stays(self) -> None:
-        """Under way: a job, and a client's connection. The new address has other workers, and generations
-        that lie before the old one's."""
-        go = threading.Event()
+    def test_a_new_discovery_address_is_followed_without_losing_a_job_or_a_connection(self) -> None:
+        """A job is under way and its client connected. The service at the new address lists other workers,
+        with lower generations than the old one; these must not be taken for outdated lists."""
+        may_finish = threading.Event()
 
         def wait(worker: HttpWorker, rid: str, handler: Any) -> None:
             handler.say(202)
 
             def finish() -> None:
-                go.wait(20)
+                may_finish.wait(20)
                 worker.tell(rid, "done", result="x")
 
             threading.Thread(target=finish, daemon=True).start()
@@ -518,27 +539,27 @@
                 program.hang_up(discovery=second.address)
                 program.process.send_signal(signal.SIGHUP)  # twice is harmless
                 wait_for(lambda: second.told == 2, "the new list")
-                go.set()
+                may_finish.set()
                 self.assertIn(b"200 OK", sock.recv(65536))
-            time.sleep(0.6)  # the grace of those that the new list does not name
+            time.sleep(0.6)  # longer than the grace of workers that the new list does not name
             for i in range(8):
                 self.assertEqual(http_call(program.edge, "POST", "/time-lookup", Req_Id=f"n{i}")[0], 200)
             self.assertEqual((len(old.seen), sum(new.ran.values())), (1, 8))
-            asked = first.asked
+            asked_before = first.asked
             second.list("h3", new.port)
             wait_for(lambda: second.told == 3, "the watch at the new address")
-            self.assertEqual(first.asked, asked)
+            self.assertEqual(first.asked, asked_before)
             second.stop()
             new.stop()
 
-    def test_a_bad_file_leaves_the_running_configuration(self) -> None:
+    def test_an_invalid_configuration_file_is_reported_and_not_applied(self) -> None:
         worker = HttpWorker("h1")
         with running([worker]) as (program, discovery):
-            half = json.dumps(program.said)[:-40]
-            for i, text in enumerate(("", half, "[]", '{"discovery": "x"}')):
+            truncated = json.dumps(program.said)[:-40]
+            for i, text in enumerate(("", truncated, "[]", '{"discovery": "x"}')):
                 with self.subTest(text=text[:20]):
                     program.hang_up(text)
-                    wait_for(lambda i=i: len(program.lines) == i + 1, "the line that tells of it")
+                    wait_for(lambda i=i: len(program.lines) == i + 1, "the log line on it")
                     self.assertIn("not reloaded", program.lines[i])
             program.hang_up(seed="2", limits={"sockets": 512})
             wait_for(lambda: len(program.lines) == 5, "the line that names what needs a restart")
@@ -547,7 +568,7 @@
             wait_for(lambda: discovery.told == discovery.generation, "the list")
             self.assertEqual(http_call(program.edge, "POST", "/time-lookup", Req_Id="a")[0], 200)
 
-    def test_it_may_come_near_the_end(self) -> None:
+    def test_a_reload_during_the_shutdown_does_no_harm(self) -> None:
         with running([HttpWorker("h1")]) as (program, _):
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
                 program.process.send_signal(number)
@@ -557,8 +578,7 @@
 
 
 class Limits(unittest.TestCase):
-    def test_it_survives_having_no_descriptors_left(self) -> None:
-        """More connections than the limit allows, all idle: jobs are still served."""
+    def test_jobs_are_served_with_more_idle_connections_than_the_limit_allows(self) -> None:
         worker = HttpWorker("h1")
         with running([worker], limits={"sockets": 200}) as (program, _):
             host, port = program.edge.split(":")
@@ -568,7 +588,8 @@
             for sock in held:
                 sock.close()
 
-    def test_it_survives_the_kernels_own_limit(self) -> None:
+    def test_jobs_are_served_when_the_kernel_grants_no_further_descriptors(self) -> None:
+        """The kernel's limit is lower than the configured one."""
         worker = HttpWorker("h1")
         with running([worker]) as (program, _):
             resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (40, 40))
@@ -580,8 +601,9 @@
             for sock in held:
                 sock.close()
 
-    def test_past_the_limit_of_busy_connections_jobs_are_turned_down_and_call_backs_answered(self) -> None:
-        worker = HttpWorker("h1", never)
+    def test_beyond_the_limit_of_busy_connections_jobs_are_rejected_and_call_backs_answered(self) -> None:
+        """Without the call-backs, the jobs that use up the limit could never end."""
+        worker = HttpWorker("h1", never_finish)
         with running([worker], limits={"sockets": 104}) as (program, _):
             host, port = program.edge.split(":")
             held = [socket.create_connection((host, int(port)), timeout=20) for _ in range(60)]
@@ -595,7 +617,7 @@
             for sock in held:
                 sock.close()
 
-    def test_bad_configuration_is_one_line_and_exit_2(self) -> None:
+    def test_an_invalid_configuration_is_one_line_and_exit_status_2(self) -> None:
         good: dict[str, Any] = {
             "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1", "settings": SETTINGS,
         }  # fmt: skip
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""What the HTTP reader takes and what it does not, as a table; no sockets."""
+"""Which HTTP messages the readers accept and reject, as tables of cases, without sockets."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 CHUNKED = POST + b"Transfer-Encoding: chunked\r\n"
 
 
-class Cut(unittest.TestCase):
-    def test_messages_come_whole_wherever_they_are_cut(self) -> None:
+class SplitInput(unittest.TestCase):
+    def test_messages_are_read_completely_wherever_the_input_is_split(self) -> None:
+        """A message may be split between two reads at any byte; none of it must be lost or read twice."""
         head = b"Host: service.internal\r\nReq-Id: a1\r\nContent-Length: 4\r\n\r\nbody"
         requests = POST + head + CHUNKED + b"Req-Id: a2\r\n\r\n4\r\nbody\r\n" + END + POST + head
         answers = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
@@ -21,19 +22,20 @@
         readers: list[tuple[type[http.RequestReader | http.ResponseReader], bytes]] = [
             (http.RequestReader, requests), (http.ResponseReader, answers),
         ]  # fmt: skip
-        for kind, stream in readers:
-            whole = kind().feed(stream)
-            self.assertEqual(len(whole), 3)
-            cuts = [[stream[:i], stream[i:]] for i in range(1, len(stream))]
-            cuts.append([stream[i : i + 1] for i in range(len(stream))])
-            for pieces in cuts:
-                with self.subTest(kind=kind.__name__, first=len(pieces[0]), pieces=len(pieces)):
-                    reader = kind()
-                    self.assertEqual([m for piece in pieces for m in reader.feed(piece)], whole)
+        for reader_class, stream in readers:
+            messages = reader_class().feed(stream)
+            self.assertEqual(len(messages), 3)
+            splits = [[stream[:i], stream[i:]] for i in range(1, len(stream))]
+            splits.append([stream[i : i + 1] for i in range(len(stream))])
+            for pieces in splits:
+                with self.subTest(kind=reader_class.__name__, first=len(pieces[0]), pieces=len(pieces)):
+                    reader = reader_class()
+                    self.assertEqual([m for piece in pieces for m in reader.feed(piece)], messages)
 
 
-class Reading(unittest.TestCase):
-    def test_what_may_hide_a_request_or_cannot_be_read_is_bad(self) -> None:
+class InvalidInput(unittest.TestCase):
+    def test_ambiguous_and_malformed_requests_are_rejected(self) -> None:
+        """If two servers disagree on where a request ends, a second request can be smuggled within it."""
         cases = [
             POST + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n" + END,
             CHUNKED + b"Content-Length: 3\r\n\r\n" + END,
@@ -62,17 +64,18 @@
             b"POST /time-lookup\r\n\r\n",
             POST + b"Req-Id: a\r\nreq-id: a\r\n\r\n",
             POST + b"Req-Deadline-Ms: 5\r\nReq-Deadline-Ms: 9\r\n\r\n",
-            POST + b"\r\nnonsense\r\n\r\n",  # the first is whole, and is not taken either
+            POST + b"\r\nnonsense\r\n\r\n",  # the first request is complete, and is not accepted either
         ]
         for data in cases:
             for size in (len(data), 7):
                 with self.subTest(data=data, size=size), self.assertRaises(http.BadMessage) as raised:
                     reader = http.RequestReader()
-                    for at in range(0, len(data), size):
-                        reader.feed(data[at : at + size])
+                    for start in range(0, len(data), size):
+                        reader.feed(data[start : start + size])
                 self.assertEqual(raised.exception.status, 400)
 
-    def test_nothing_is_read_without_end(self) -> None:
+    def test_each_part_of_a_message_has_a_size_limit(self) -> None:
+        """A client must not fill the memory with an endless target, head, chunk extension or trailer."""
         cases = [
             (b"POST /" + b"x" * 9000, b"", 414),
             (POST, b"X: y\r\n", 431),
@@ -88,11 +91,12 @@
                     reader.feed(more)
             self.assertEqual(raised.exception.status, status)
 
-    def test_a_trailer_is_no_header(self) -> None:
+    def test_a_trailer_does_not_count_as_a_header(self) -> None:
         (message,) = http.RequestReader().feed(CHUNKED + b"\r\n3\r\nabc\r\n0\r\nReq-Id: x\r\n\r\n")
         self.assertEqual((message.body, "req-id" in message.headers), (b"abc", False))
 
-    def test_a_long_message_before_a_head_does_not_count_for_it(self) -> None:
+    def test_the_size_of_a_message_does_not_count_for_the_head_of_the_next(self) -> None:
+        """The end of one message and the head of the next may be read together."""
         reader = http.RequestReader()
         (first,) = reader.feed(POST + b"Content-Length: 60000\r\n\r\n" + b"x" * 60000 + POST)
         (second,) = reader.feed(b"\r\n")
@@ -100,7 +104,7 @@
 
 
 class Headers(unittest.TestCase):
-    def test_what_no_request_is_made_of(self) -> None:
+    def test_invalid_request_headers_are_rejected(self) -> None:
         good = {"req-id": "9b1f03aa5c7e2d41", "req-deadline-ms": "480", "req-cost": "1200.5"}
         cases = [
             {"req-id": ""}, {"req-id": "a/b"}, {"req-id": "a b"}, {"req-id": "a%2F"}, {"req-id": "\xe9"},
