--- a/eiderpin/net/gearman_front.py
+++ b/eiderpin/net/gearman_front.py
@@ -107,7 +107,7 @@
         # Replies to submissions, in their order: functions that send one, and whether it may be sent now.
         self.pending_replies: deque[list[Any]] = deque()
         # As a worker.
-        self.abilities: dict[str, float] = {}  # functions, and their time-outs in ms; 0: none
+        self.abilities: dict[str, float] = {}  # functions, and their timeouts in ms; 0: none
         self.entry: ServiceEntry | None = None
         self.asleep = False
         self.placed: deque[Attempt] = deque()
@@ -371,14 +371,14 @@
         self.send_packet(Kind.NO_JOB)
 
     def start_run_timeout(self, handle: bytes, attempt: Attempt) -> None:
-        """Start the time-out that the worker gave with the function (CAN_DO_TIMEOUT), if it gave one."""
+        """Start the timeout that the worker gave with the function (CAN_DO_TIMEOUT), if it gave one."""
         timeout_ms = self.abilities.get(attempt.request.cls, 0.0)
         if timeout_ms:
             at = self.core.clock.now() + timeout_ms
             self.timeouts[attempt] = self.core.deadlines.set(at, lambda: self.handle_run_timeout(handle))
 
     def handle_run_timeout(self, handle: bytes) -> None:
-        """End an attempt that has run for longer than the worker's own time-out."""
+        """End an attempt that has run for longer than the worker's own timeout."""
         attempt = self.running.pop(handle, None)
         if attempt is not None:
             self.timeouts.pop(attempt, None)
@@ -410,7 +410,7 @@
             self.core.data_part(attempt, args[1], kind is Kind.WORK_WARNING)
 
     def cancel_timeout(self, attempt: Attempt) -> None:
-        """Cancel the time-out of an attempt, if one is set."""
+        """Cancel the timeout of an attempt, if one is set."""
         self.core.deadlines.drop(self.timeouts.pop(attempt, None))
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -59,7 +59,7 @@
 
 
 def long_idle(stage: Stage) -> None:
-    """Let the idle time-out pass."""
+    """Let the idle timeout pass."""
     stage.pass_time(edges.IDLE_TIMEOUT_MS + 2 * edges.SWEEP_INTERVAL_MS)
 
 
