--- a/eiderpin/net/agent_check.py
+++ b/eiderpin/net/agent_check.py
@@ -20,14 +20,14 @@
         max_connections: int,
         shared: bool = False,
     ) -> None:
-        self.readiness, self.most = readiness, max_connections
+        self.readiness, self.max_connections = readiness, max_connections
         self.open_connections: list[Connection] = []
-        self.listener = Listener(loop, address, self.accept_connection, on=not shared, shared=shared)
+        self.listener = Listener(loop, address, self.accept_connection, accepting=not shared, shared=shared)
 
     def accept_connection(self, conn: Connection) -> None:
         """Send the state and close. A line that some balancers send first is not needed, nor waited for."""
         self.open_connections = [c for c in self.open_connections if not c.closed]
-        if len(self.open_connections) >= self.most:
+        if len(self.open_connections) >= self.max_connections:
             conn.close()
             return
         self.open_connections.append(conn)
--- a/eiderpin/net/edge.py
+++ b/eiderpin/net/edge.py
@@ -13,8 +13,8 @@
 from enum import IntEnum
 
 from eiderpin.core.deadlines import Deadline
-from eiderpin.core.dispatcher import Dispatcher, IdTaken
-from eiderpin.core.durability import OtherJob
+from eiderpin.core.dispatcher import Dispatcher, RequestIdInUseError
+from eiderpin.core.durability import JobMismatchError
 from eiderpin.core.requests import Answer, Request, Verdict
 from eiderpin.core.slot_table import SlotTable
 from eiderpin.net import arrival, http
@@ -41,15 +41,15 @@
 DECIMAL_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
-class Away(IntEnum):
+class DrainScope(IntEnum):
     """Which connections are drained: their answers carry `Connection: close`, and idle ones are closed."""
 
-    NOBODY = 0
+    NONE = 0
     CLIENTS = 1
     ALL = 2  # also those that carry workers' call-backs
 
 
-class EdgeConnection:
+class ClientConnection:
     """A connection to the HTTP front end, of a client or of a worker that sends call-backs."""
 
     __slots__ = (
@@ -57,7 +57,7 @@
         "answered", "request_timeout", "held_bytes", "carried_work", "last_was_call_back", "eviction_tier",
     )  # fmt: skip
 
-    def __init__(self, front: Edge, conn: Connection) -> None:
+    def __init__(self, front: HttpFront, conn: Connection) -> None:
         self.front = front
         self.conn = conn
         self.number = -1
@@ -104,7 +104,7 @@
     @property
     def is_draining(self) -> bool:
         """Whether this connection belongs to those that are drained now."""
-        return self.front.drain_scope > (Away.CLIENTS if self.last_was_call_back else Away.NOBODY)
+        return self.front.drain_scope > (DrainScope.CLIENTS if self.last_was_call_back else DrainScope.NONE)
 
     def start_request_timeout(self) -> None:
         """Start, or restart, the timeout by which a request must be received completely."""
@@ -141,14 +141,14 @@
         """Parse received bytes, and serve the requests that they complete."""
         self.last_activity = self.front.loop.clock.now()
         self.receive(data)
-        self.conn.queued = 0.0
+        self.conn.backlog_wait_ms = 0.0
         self.update_eviction_tier()
 
     def arrival_time(self) -> float:
         """When the bytes that were just read arrived, in ms on the loop's clock. The connection may not have
         been accepted yet at that time."""
         age = arrival.data_age(self.conn.sock)
-        return self.last_activity - (self.conn.queued if age is None else age)
+        return self.last_activity - (self.conn.backlog_wait_ms if age is None else age)
 
     def receive(self, data: bytes) -> None:
         """Parse received bytes, check the limits, and serve the next request if none is being served."""
@@ -166,7 +166,7 @@
             self.cancel_request_timeout()
         elif completed or self.request_timeout is None:
             self.start_request_timeout()
-        if not self.front.may_hold(self):
+        if not self.front.account_memory(self):
             self.front.counters.add("in.over_memory")
             self.stop_receiving()
             return
@@ -189,7 +189,7 @@
     def reply(self, status: int, body: bytes = b"", headers: tuple[str, ...] = ()) -> None:
         """Send the answer to the request that is being served, and then serve the next one or close."""
         self.busy, self.answered = False, True
-        self.hold(None)
+        self.set_request(None)
         if self.conn.closed or self.conn.closing:
             return
         self.last_activity = self.front.loop.clock.now()
@@ -201,18 +201,18 @@
         if not keep:
             self.close()
             return
-        self.front.may_hold(self)
+        self.front.account_memory(self)
         if self.pipelined:
             self.serve_next()
         self.update_eviction_tier()
 
-    def hold(self, request: Request | None) -> None:
+    def set_request(self, request: Request | None) -> None:
         """Set the request whose answer this connection waits for; None if there is none."""
         self.front.jobs += (request is not None) - (self.request is not None)
         self.request = request
-        self.conn.waited = request is not None
+        self.conn.peer_is_waiting = request is not None
 
-    def can_go(self, request: Request) -> bool:
+    def is_transferable(self, request: Request) -> bool:
         """Whether this connection waits for `request` and has nothing else received or unsent."""
         if self.request is not request or self.conn.closing:
             return False
@@ -231,9 +231,9 @@
     def reject(self, cls: str) -> None:
         """Reject a job for lack of capacity, before anything of it is sent to a worker."""
         if cls in self.front.core.classes:
-            self.front.core.count_answer(cls, Verdict.TURNED_DOWN)
+            self.front.core.count_answer(cls, Verdict.REJECTED)
         self.keep_alive, self.busy = False, True
-        self.answer(NO_REQUEST, self.front.core.turned_down(math.inf))
+        self.answer(NO_REQUEST, self.front.core.rejection(math.inf))
 
     # What the dispatcher calls with the outcome of a request.
 
@@ -241,7 +241,7 @@
         """Send the final answer to a request."""
         if answer.verdict is Verdict.SERVED:
             self.reply(200, answer.result)
-        elif answer.verdict is Verdict.TURNED_DOWN:
+        elif answer.verdict is Verdict.REJECTED:
             retry_after = () if answer.wait is None else (f"Retry-After: {answer.wait / 1000:.3f}",)
             self.reply(503, b"turned down\n", retry_after)
         else:
@@ -250,7 +250,7 @@
     def progress(self, request: Request, share: float) -> None:
         """Do nothing: HTTP clients get only the final answer."""
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None:
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None:
         """Do nothing: an HTTP answer carries no partial data."""
 
     def has_left(self) -> bool:
@@ -262,8 +262,8 @@
     def abandon_request(self) -> None:
         """Tell the dispatcher that the client no longer waits for its request."""
         request = self.request
-        self.hold(None)
-        if request is not None and request.once:
+        self.set_request(None)
+        if request is not None and request.single_use_id:
             self.front.core.leave(request, self)
         elif request is not None:
             self.front.core.detach(request, self)
@@ -286,7 +286,7 @@
         self.front.remove_connection(self)
 
 
-class Edge:
+class HttpFront:
     """Accepts the connections of clients and of workers that send call-backs, and serves their requests."""
 
     def __init__(
@@ -299,45 +299,50 @@
         max_connections: int,
         extra_connections: int,
         max_held_bytes: int,
-        on: bool = True,
+        accepting: bool = True,
     ) -> None:
         """`listen_on` is an address or a listening socket. `on_call_back` gets the body of a worker's
         call-back and a function that answers it with a status; `health` returns the state that `/_health`
-        reports. With `on` False nothing is accepted until the listener is started."""
+        reports. With `accepting` False nothing is accepted until the listener is started."""
         self.loop, self.core, self.counters = loop, core, core.counters
         self.on_call_back, self.health = on_call_back, health
-        self.most = max_connections  # that may wait for a job's answer
-        self.extra = extra_connections  # beyond those, for call-backs and for clients that send nothing
-        self.memory, self.held_bytes = max_held_bytes, 0  # of requests on all connections: limit and current
+        self.max_connections = max_connections  # that may wait for a job's answer
+        self.extra_connections = (
+            extra_connections  # beyond those, for call-backs and for clients that send nothing
+        )
+        self.max_held_bytes, self.held_bytes = (
+            max_held_bytes,
+            0,
+        )  # of requests on all connections: limit and current
         self.jobs = 0  # connections that wait for a request's answer
-        self.eviction_queues: EvictionQueues[EdgeConnection] = EvictionQueues()
-        self.drain_scope = Away.NOBODY
+        self.eviction_queues: EvictionQueues[ClientConnection] = EvictionQueues()
+        self.drain_scope = DrainScope.NONE
         self.drain_at = math.inf  # when the first check for idle connections is, or was
         self.drain_timer: Deadline | None = None
-        self.connections: SlotTable[EdgeConnection] = SlotTable()
-        self.listener = Listener(loop, listen_on, self.accept_connection, self.make_room, on)
+        self.connections: SlotTable[ClientConnection] = SlotTable()
+        self.listener = Listener(loop, listen_on, self.accept_connection, self.make_room, accepting)
         loop.deadlines.set(loop.clock.now() + SWEEP_INTERVAL_MS, self.sweep)
 
     def accept_connection(self, conn: Connection) -> None:
         """Take on a new connection, and close others or stop accepting where there are too many."""
         self.counters.add("in.edge_connections")
-        connection = EdgeConnection(self, conn)
+        connection = ClientConnection(self, conn)
         connection.number = self.connections.add(connection)
-        if len(self.connections) >= self.most + self.extra // 2:
+        if len(self.connections) >= self.max_connections + self.extra_connections // 2:
             self.make_room()
-        if len(self.connections) >= self.most + self.extra:
+        if len(self.connections) >= self.max_connections + self.extra_connections:
             # Further connections would take descriptors that the worker side needs; they wait in the backlog.
-            self.listener.rest()
+            self.listener.suspend()
 
     def make_room(self) -> bool:
         """Close connections in the order of their eviction tiers, no more than needed, and a kept-alive one
         only if the limit is reached. Returns whether a new connection can be accepted now."""
         now = self.loop.clock.now()
-        while len(self.connections) >= self.most + self.extra // 2:
+        while len(self.connections) >= self.max_connections + self.extra_connections // 2:
             connection = self.eviction_queues.next_candidate(now)
             if connection is None or (
                 connection.eviction_tier is EvictionTier.KEPT_ALIVE
-                and len(self.connections) < self.most + self.extra
+                and len(self.connections) < self.max_connections + self.extra_connections
             ):
                 break
             if not connection.conn.closing and connection.conn.has_input():
@@ -346,29 +351,29 @@
                 continue
             self.counters.add("in.made_room")
             connection.conn.close()
-        return len(self.connections) < self.most + self.extra
+        return len(self.connections) < self.max_connections + self.extra_connections
 
-    def movable(self, request: Request) -> EdgeConnection | None:
+    def transferable_connection(self, request: Request) -> ClientConnection | None:
         """The connection that waits for `request`, if it can be transferred to another process with it."""
         waiter = request.waiters[0] if len(request.waiters) == 1 else None
-        return waiter if isinstance(waiter, EdgeConnection) and waiter.can_go(request) else None
+        return waiter if isinstance(waiter, ClientConnection) and waiter.is_transferable(request) else None
 
-    def adopt(self, sock: socket.socket) -> EdgeConnection:
+    def adopt(self, sock: socket.socket) -> ClientConnection:
         """Take on a client's connection from another process, which transfers its request as well."""
-        connection = EdgeConnection(self, Connection(self.loop, sock, False))
+        connection = ClientConnection(self, Connection(self.loop, sock, False))
         connection.number = self.connections.add(connection)
         connection.cancel_request_timeout()
         connection.busy = connection.answered = connection.carried_work = True
         connection.update_eviction_tier()
         return connection
 
-    def remove_connection(self, connection: EdgeConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         """Forget a closed connection, and the memory that it held."""
         self.connections.remove(connection.number)
         self.held_bytes -= connection.held_bytes
         connection.held_bytes = 0
 
-    def may_hold(self, connection: EdgeConnection) -> bool:
+    def account_memory(self, connection: ClientConnection) -> bool:
         """Update how many bytes of requests a connection holds. Returns False if they have grown and all
         connections together exceed the limit."""
         body = connection.request.size if connection.request is not None else 0
@@ -376,7 +381,7 @@
         grown = held > connection.held_bytes
         self.held_bytes += held - connection.held_bytes
         connection.held_bytes = held
-        return not grown or self.held_bytes <= self.memory
+        return not grown or self.held_bytes <= self.max_held_bytes
 
     def sweep(self) -> None:
         """Close connections that have been idle, or whose answer has been unread, for too long."""
@@ -397,13 +402,13 @@
                 connection.close()
         self.loop.deadlines.set(now + SWEEP_INTERVAL_MS, self.sweep)
 
-    def send_away(self, scope: Away, after: float) -> None:
+    def drain_connections(self, scope: DrainScope, after: float) -> None:
         """Stop keep-alive on the connections in `scope`, and from `after` ms on close the idle ones. The
         listener stays open, for call-backs and for what a balancer still sends."""
         if scope is self.drain_scope:
             return
         self.drain_scope = scope
-        if scope is Away.NOBODY:
+        if scope is DrainScope.NONE:
             self.loop.deadlines.drop(self.drain_timer)
             self.drain_at = math.inf
         else:
@@ -416,7 +421,9 @@
         it again elsewhere. `at_once`: also close new connections whose first request may be on its way."""
         now = self.loop.clock.now()
         self.loop.deadlines.drop(self.drain_timer)
-        rejects_partial = self.drain_scope is Away.CLIENTS and now >= self.drain_at + PARTIAL_REQUEST_GRACE_MS
+        rejects_partial = (
+            self.drain_scope is DrainScope.CLIENTS and now >= self.drain_at + PARTIAL_REQUEST_GRACE_MS
+        )
         if now >= self.drain_at:
             for connection in self.connections.all():
                 if not connection.is_draining or connection.conn.closing or connection.conn.has_input():
@@ -432,18 +439,18 @@
             max(now + DRAIN_INTERVAL_MS, self.drain_at), self.close_idle
         )
 
-    def part(self, at_once: bool) -> bool:
+    def close_remaining(self, at_once: bool) -> bool:
         """Close the remaining connections once everything is answered, before the process exits. To be called
         until it returns True: none is left. Unread input is served first, and its jobs need the listener for
         their call-backs. With `at_once` nothing is served any more, and no client is waited for."""
-        if at_once and self.listener.on:
+        if at_once and self.listener.accepting:
             self.listener.ready(READ)  # clients that have connected by now get a rejection
         self.close_idle(at_once)
         for connection in self.connections.all():
             if connection.eviction_tier is EvictionTier.PARTIAL and not connection.conn.has_input():
                 connection.stop_receiving()
         if at_once or all(connection.conn.closing for connection in self.connections.all()):
-            self.listener.pause()
+            self.listener.stop()
         return not len(self.connections)
 
     def answer_all(self) -> int:
@@ -457,7 +464,7 @@
                 connection.reply(503)
         return len(busy)
 
-    def quiet(self, include_partial: bool) -> bool:
+    def is_idle(self, include_partial: bool) -> bool:
         """Whether no connection waits for an answer or has one unsent; with `include_partial` also whether
         none has a request partly received."""
         return not any(
@@ -473,7 +480,7 @@
 
     # Requests.
 
-    def serve(self, connection: EdgeConnection, message: http.Message) -> None:
+    def serve(self, connection: ClientConnection, message: http.Message) -> None:
         """Answer a request, or pass the job that it is on to the dispatcher."""
         path, cls = message.path, self.class_of(message.target)
         if path == "/_health":
@@ -503,12 +510,12 @@
         segments = target.split(b"?", 1)[0].decode("latin-1").split("/", 2)
         return segments[1] if len(segments) > 1 and not segments[0] else ""
 
-    def submit_job(self, connection: EdgeConnection, cls: str, message: http.Message) -> None:
+    def submit_job(self, connection: ClientConnection, cls: str, message: http.Message) -> None:
         """Submit a job to the dispatcher, or answer at once why it is not accepted."""
         try:
             default = self.core.classes[cls].deadline
             request = make_request(cls, message, message.received_at, default, self.core.is_durable(cls))
-            if self.jobs >= self.most:
+            if self.jobs >= self.max_connections:
                 self.counters.add("in.over_connections")
                 connection.reject(cls)
                 return
@@ -517,18 +524,18 @@
             self.counters.add("in.bad.400")
             connection.reply(400, f"{error}\n".encode())
             return
-        except IdTaken:
+        except RequestIdInUseError:
             self.counters.add("in.bad.409")
             connection.reply(409, b"this Req-Id is another request's\n")
             return
-        except OtherJob:
+        except JobMismatchError:
             self.counters.add("in.bad.422")
             connection.reply(422, b"this Idempotency-Key is that of a job that asked for something else\n")
             return
         connection.carried_work, connection.last_was_call_back = True, False
         if connection.busy and not joined.ended:
-            connection.hold(joined)
-            self.may_hold(connection)
+            connection.set_request(joined)
+            self.account_memory(connection)
 
 
 def _discard(data: bytes) -> None:
@@ -595,6 +602,6 @@
         key=headers.get("req-key"),
         hint=cost / 1000.0 if cost else None,
         client_retry=headers.get("req-retry") == "1",
-        once=key is None,
+        single_use_id=key is None,
         idempotency_key=headers.get("idempotency-key"),
     )
--- a/eiderpin/net/gearman_front.py
+++ b/eiderpin/net/gearman_front.py
@@ -21,8 +21,8 @@
 from eiderpin import interface as api
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.durability import OtherJob
-from eiderpin.core.requests import Answer, Attempt, Request, ServiceEntry, Verdict
+from eiderpin.core.durability import JobMismatchError
+from eiderpin.core.requests import Answer, Attempt, Endpoint, Request, Verdict
 from eiderpin.core.slot_table import SlotTable
 from eiderpin.net.gearman import Kind, Line, Packet, Reader, pack
 from eiderpin.net.loop import Connection, Listener, Loop
@@ -73,7 +73,7 @@
         if answer.verdict is Verdict.SERVED:
             self.client.send_packet(Kind.WORK_COMPLETE, self.handle, answer.result)
             return
-        if answer.verdict is Verdict.TURNED_DOWN and self.client.wants_exceptions:
+        if answer.verdict is Verdict.REJECTED and self.client.wants_exceptions:
             wait = "" if answer.wait is None else f", come back after {answer.wait / 1000:.3f} s"
             self.client.send_packet(Kind.WORK_EXCEPTION, self.handle, f"turned down{wait}".encode())
         self.client.send_packet(Kind.WORK_FAIL, self.handle)
@@ -83,7 +83,7 @@
         if self.handle:
             self.client.send_packet(Kind.WORK_STATUS, self.handle, b"%d" % round(share * 100), b"100")
 
-    def data_part(self, request: Request, data: bytes, warning: bool) -> None:
+    def forward_data(self, request: Request, data: bytes, warning: bool) -> None:
         """Send partial data, or a warning, from the worker."""
         if self.handle:
             self.client.send_packet(Kind.WORK_WARNING if warning else Kind.WORK_DATA, self.handle, data)
@@ -108,7 +108,7 @@
         self.pending_replies: deque[list[Any]] = deque()
         # As a worker.
         self.abilities: dict[str, float] = {}  # functions, and their timeouts in ms; 0: none
-        self.entry: ServiceEntry | None = None
+        self.endpoint: Endpoint | None = None
         self.asleep = False
         self.placed: deque[Attempt] = deque()
         self.running: dict[bytes, Attempt] = {}
@@ -156,10 +156,10 @@
             self.cancel_timeout(attempt)
             self.core.ended(attempt, api.Outcome.RESET)
         self.running.clear()
-        if self.entry is not None:
+        if self.endpoint is not None:
             self.publish_state(api.WorkerState.GONE)
-            del self.core.entries[self.entry.name]  # the name is never used again
-            self.entry = None
+            del self.core.endpoints[self.endpoint.name]  # the name is never used again
+            self.endpoint = None
         self.front.connections.remove(self.number)
 
     def handle_packet(self, packet: Packet) -> None:
@@ -232,7 +232,7 @@
         submission = Submission(self)
         try:
             joined = self.core.submit(request, None if background else submission)
-        except OtherJob:
+        except JobMismatchError:
             self.send_error(
                 "OTHER_JOB", f"the unique id {name!r} is that of a job that asked for something else"
             )
@@ -240,9 +240,9 @@
         handle = self.front.handle_of(joined)
         if not background:
             self.reply_in_order(lambda: submission.confirm(joined, handle))
-        elif joined.job and self.core.keeper is not None:
+        elif joined.job and self.core.job_manager is not None:
             # The job is confirmed once it is on disk, so that it outlives this process.
-            self.core.keeper.when_kept(
+            self.core.job_manager.when_durable(
                 joined, self.defer_reply(lambda: self.send_packet(Kind.JOB_CREATED, handle))
             )
         elif self.core.is_durable(cls) and not joined.job and request is joined:
@@ -305,7 +305,7 @@
             self.placed.remove(attempt)
             self.cancel_timeout(attempt)
             self.core.ended(attempt, api.Outcome.NOT_SENT)
-        if self.entry is not None:
+        if self.endpoint is not None:
             serves = any(f in self.core.classes for f in self.abilities)
             self.publish_state(api.WorkerState.IN_SERVICE if serves else api.WorkerState.DRAINING)
 
@@ -313,13 +313,15 @@
         """Report this worker to the dispatcher, with its state and the classes that it serves now."""
         now = self.core.clock.now()
         classes = frozenset(f for f in self.abilities if f in self.core.classes)
-        name = self.entry.name if self.entry is not None else f"gearman-{self.front.next_worker_number()}"
-        born = self.entry.listed.born if self.entry is not None else now
+        name = (
+            self.endpoint.name if self.endpoint is not None else f"gearman-{self.front.next_worker_number()}"
+        )
+        born = self.endpoint.listed.born if self.endpoint is not None else now
         listed = api.WorkerEntry(
             name, self.core.settings.zone, "gearman", -1, state, born=born, classes=classes, slots=1.0
         )
-        self.core.list_told(self.front, api.ListKind.CHANGES, [(listed, self)])
-        self.entry = self.core.entries[name]
+        self.core.apply_worker_list(self.front, api.ListKind.CHANGES, [(listed, self)])
+        self.endpoint = self.core.endpoints[name]
 
     def place(self, attempt: Attempt) -> None:
         """Offer a job to the worker, and wake it if it sleeps. It must grab the job within a time limit."""
@@ -407,7 +409,7 @@
             if args[1].isdigit() and args[2].isdigit() and int(args[2]) > 0:
                 self.core.progress(attempt, False, min(int(args[1]) / int(args[2]), 1.0))
         else:
-            self.core.data_part(attempt, args[1], kind is Kind.WORK_WARNING)
+            self.core.forward_data(attempt, args[1], kind is Kind.WORK_WARNING)
 
     def cancel_timeout(self, attempt: Attempt) -> None:
         """Cancel the timeout of an attempt, if one is set."""
@@ -424,24 +426,24 @@
         """`name` is the dispatcher's and is part of each handle. With `shared` an old and a new process may
         both bind the address, and nothing is accepted until the listener is started."""
         self.loop, self.core, self.name = loop, core, name
-        self.most = max_connections
+        self.max_connections = max_connections
         self.connections: SlotTable[GearmanConnection] = SlotTable()
         self._last_worker_number = 0
         self._drain_timer: Deadline | None = None  # the next check for idle clients, while they are drained
         self._stored_answer_handles = 0  # handles given to requests that were answered at once
-        self.listener = Listener(loop, address, self.accept_connection, on=not shared, shared=shared)
+        self.listener = Listener(loop, address, self.accept_connection, accepting=not shared, shared=shared)
 
     def accept_connection(self, conn: Connection) -> None:
         """Take on a new connection, unless there are too many."""
         self.core.counters.add("in.gearman_connections")
-        if len(self.connections) >= self.most:
+        if len(self.connections) >= self.max_connections:
             conn.close()
-            self.listener.rest()
+            self.listener.suspend()
             return
         connection = GearmanConnection(self, conn)
         connection.number = self.connections.add(connection)
 
-    def send_away(self, draining: bool, after: float) -> None:
+    def drain_connections(self, draining: bool, after: float) -> None:
         """Start closing idle clients, `after` ms from now and then repeatedly, or stop it. Workers stay, and
         so do clients that wait for jobs: the protocol has no way to ask them to leave."""
         if not draining:
@@ -454,7 +456,7 @@
         """Close the connections of idle clients, and schedule the next check."""
         now = self.loop.clock.now()
         for connection in self.connections.all():
-            is_worker = connection.entry is not None or connection.abilities or connection.running
+            is_worker = connection.endpoint is not None or connection.abilities or connection.running
             is_idle = (
                 not is_worker
                 and not connection.open_submissions
@@ -482,7 +484,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Offer a job to its worker."""
-        connection = attempt.entry.address
+        connection = attempt.endpoint.address
         if isinstance(connection, GearmanConnection) and not connection.conn.closed:
             connection.place(attempt)
         else:
@@ -490,21 +492,21 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Take back a job that was not grabbed; a worker that runs a job cannot be told to stop."""
-        connection = attempt.entry.address
+        connection = attempt.endpoint.address
         if isinstance(connection, GearmanConnection) and attempt in connection.placed:
             connection.placed.remove(attempt)
             connection.cancel_timeout(attempt)
 
-    def probe(self, entry: ServiceEntry) -> None:
+    def probe(self, endpoint: Endpoint) -> None:
         """Report at once whether the worker's connection is open."""
-        connection = entry.address
+        connection = endpoint.address
         up = isinstance(connection, GearmanConnection) and not connection.conn.closed
-        self.core.probed(entry, up, 0.0)
+        self.core.probed(endpoint, up, 0.0)
 
-    def entry_changed(self, entry: ServiceEntry) -> None:
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
         """Do nothing: the connection itself is the worker's address."""
 
-    def may_move(self, attempt: Attempt) -> bool:
+    def may_transfer(self, attempt: Attempt) -> bool:
         """False: the result can come only on this worker's connection."""
         return False
 
@@ -554,7 +556,7 @@
         for cls in self.core.classes:
             of_class = [r for r in requests if r.cls == cls]
             running = sum(any(a.accepted and not a.ended for a in r.attempts) for r in of_class)
-            in_service = [e for e in self.core.entries.values() if e.in_service]
+            in_service = [e for e in self.core.endpoints.values() if e.in_service]
             workers = sum(e.listed.classes is None or cls in e.listed.classes for e in in_service)
             lines.append(f"{cls}\t{len(of_class)}\t{running}\t{workers}\n")
         return lines
--- a/eiderpin/net/http.py
+++ b/eiderpin/net/http.py
@@ -218,7 +218,7 @@
         completed, self.completed = self.completed, []
         return [message for message in completed if message.status >= 200]
 
-    def at_end(self) -> Message | None:
+    def message_at_eof(self) -> Message | None:
         """The response that the end of the connection completes: one without a length. None if the response
         was cut short, or if none was being received."""
         message, headers = self._message, self._message.headers
--- a/eiderpin/net/management.py
+++ b/eiderpin/net/management.py
@@ -21,23 +21,23 @@
 class Extension(Protocol):
     """The calls of an optional feature."""
 
-    most_line: int
+    max_line_bytes: int
 
-    def call(self, caller: Call, arguments: bytes) -> None:
+    def call(self, caller: ManagementConnection, arguments: bytes) -> None:
         """Handle one call: `arguments` is its line without the first word. `caller` must get a reply, at once
         or later."""
         ...
 
 
-class Call:
+class ManagementConnection:
     """One caller's connection to the management API."""
 
-    __slots__ = ("management", "conn", "received", "timeout", "on_gone")
+    __slots__ = ("management", "conn", "received", "timeout", "on_disconnect")
 
     def __init__(self, management: Management, conn: Connection) -> None:
         self.management, self.conn = management, conn
         self.received = b""
-        self.on_gone: Callable[[], None] = _do_nothing
+        self.on_disconnect: Callable[[], None] = _do_nothing
         self.timeout: Deadline | None = management.loop.deadlines.set(
             management.loop.clock.now() + CALL_TIMEOUT_MS, self.handle_timeout
         )
@@ -46,7 +46,7 @@
     def handle_data(self, data: bytes) -> None:
         """Collect the line, and handle the call once it is complete or too long."""
         extension = self.management.extension_for(self.received[:64] + data[:64])
-        max_bytes = extension.most_line if extension is not None else MAX_LINE_BYTES
+        max_bytes = extension.max_line_bytes if extension is not None else MAX_LINE_BYTES
         line, newline, _ = (self.received + data[: max_bytes + 1]).partition(b"\n")
         if newline and extension is not None and len(line) <= max_bytes:
             self.conn.on_data = _discard
@@ -62,11 +62,11 @@
         self.conn.write(text.encode() + b"\n")
         self.conn.close_when_sent()
 
-    def say(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         """Send a line of the reply that is not the last."""
         self.conn.write(text.encode() + b"\n")
 
-    def wait(self, ms: float | None) -> None:
+    def set_timeout(self, ms: float | None) -> None:
         """Let the reply take up to `ms` from now on; None: without limit."""
         deadlines, now = self.management.loop.deadlines, self.management.loop.clock.now()
         deadlines.drop(self.timeout)
@@ -84,7 +84,7 @@
         """Release what belongs to the connection, and notify whoever was going to reply."""
         self.management.loop.deadlines.drop(self.timeout)
         self.management.open_connections.pop(self, None)
-        self.on_gone()
+        self.on_disconnect()
 
 
 class Management:
@@ -100,22 +100,22 @@
         max_connections: int,
     ) -> None:
         self.loop, self.counters, self.calls = loop, counters, calls
-        self.most = max_connections
-        self.parts: dict[str, Extension] = {}  # by the first word of their calls
-        self.open_connections: dict[Call, None] = {}  # the oldest first
+        self.max_connections = max_connections
+        self.extensions: dict[str, Extension] = {}  # by the first word of their calls
+        self.open_connections: dict[ManagementConnection, None] = {}  # the oldest first
         self.listener = Listener(loop, address, self.accept_connection)
 
     def accept_connection(self, conn: Connection) -> None:
         """Take on a new caller, and close the oldest connection if there are too many."""
-        if len(self.open_connections) >= self.most:
+        if len(self.open_connections) >= self.max_connections:
             # The oldest has had the most time; callers that send nothing must not keep others out.
             next(iter(self.open_connections)).conn.close()
             self.counters.add("in.calls_crowded")
-        self.open_connections[Call(self, conn)] = None
+        self.open_connections[ManagementConnection(self, conn)] = None
 
     def extension_for(self, line: bytes) -> Extension | None:
         """The extension whose call begins `line`, by its first word; None if it is none of theirs."""
-        for name, extension in self.parts.items():
+        for name, extension in self.extensions.items():
             if line.startswith(name.encode() + b" "):
                 return extension
         return None
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -9,7 +9,7 @@
 import unittest
 
 from eiderpin.net.gearman import Kind, pack
-from tests.crossing import Peer, Stage, http, job, staged, to_worker
+from tests.crossing import Harness, Peer, http_response, job_request, leads_to_worker, running_harness
 from tests.standins import SETTINGS
 
 LEAVING_WAYS = ("close", "reset", "pipelined, then close", "half a request more, then close")
@@ -29,15 +29,15 @@
 def leave(client: Peer, way: str) -> None:
     """Have a client leave in one of `LEAVING_WAYS`."""
     if way.startswith("pipelined"):
-        client.say(job("time-lookup", "ahead"))
+        client.send(job_request("time-lookup", "ahead"))
     elif way.startswith("half"):
-        client.say(job("time-lookup", "ahead")[:30])
+        client.send(job_request("time-lookup", "ahead")[:30])
     (client.reset if way == "reset" else client.close)()
 
 
-def all_ended(stage: Stage) -> bool:
+def all_ended(harness: Harness) -> bool:
     """Whether no job is outstanding."""
-    return stage.core.outstanding == 0
+    return harness.core.outstanding == 0
 
 
 class ClientLeaves(unittest.TestCase):
@@ -48,44 +48,46 @@
         ):
             with (
                 self.subTest(cls=cls, way=way, may_cancel=cancels, seen="later" if later else "at once"),
-                staged(settings=settings(cancels)) as stage,
+                running_harness(settings=settings(cancels)) as harness,
             ):
-                client = stage.client()
-                client.say(job(cls, "a"))
-                stage.hold(lambda conn: conn.connecting)
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
-                self.assertTrue(stage.loop.connections.all())
+                client = harness.client()
+                client.send(job_request(cls, "a"))
+                harness.hold_back(lambda conn: conn.connecting)
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
+                self.assertTrue(harness.loop.connections.all())
                 leave(client, way)
                 if later:
-                    stage.until(lambda s=stage: all_ended(s), "the client's end")
+                    harness.run_until(lambda s=harness: all_ended(s), "the client's end")
                 else:
-                    stage.first(lambda conn: not conn.connecting)
-                stage.let()
-                stage.until(lambda s=stage: all_ended(s), "the client's end")
-                stage.turn(5)
-                stage.pass_time(1000)
-                self.assertEqual(stage.begun(), [])
+                    harness.first(lambda conn: not conn.connecting)
+                harness.release_held()
+                harness.run_until(lambda s=harness: all_ended(s), "the client's end")
+                harness.run_turns(5)
+                harness.advance_clock(1000)
+                self.assertEqual(harness.begun(), [])
 
     def test_while_the_job_waits_for_a_worker(self) -> None:
         """There is no worker at first. The one that appears as the client leaves must not get the job."""
         for cls, way, cancels in itertools.product(CLASSES, LEAVING_WAYS, (True, False)):
             with (
                 self.subTest(cls=cls, way=way, may_cancel=cancels),
-                staged(settings=settings(cancels)) as stage,
+                running_harness(settings=settings(cancels)) as harness,
             ):
-                rows = stage.service.config.workers
-                assert rows is not None and stage.service.listed is not None
-                stage.service.listed.tell([])
-                client = stage.client()
-                client.say(job(cls, "a"))
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
+                rows = harness.service.config.workers
+                assert rows is not None and harness.service.listed is not None
+                harness.service.listed.update_workers([])
+                client = harness.client()
+                client.send(job_request(cls, "a"))
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
                 leave(client, way)
-                stage.service.listed.tell(rows)  # in the turn of the loop that sees the client leave
-                stage.until(lambda s=stage: all_ended(s), "the client's end")
-                stage.pass_time(1000)
-                self.assertEqual(stage.begun(), [])
+                harness.service.listed.update_workers(
+                    rows
+                )  # in the turn of the loop that sees the client leave
+                harness.run_until(lambda s=harness: all_ended(s), "the client's end")
+                harness.advance_clock(1000)
+                self.assertEqual(harness.begun(), [])
 
     def test_as_a_worker_rejects_the_first_attempt(self) -> None:
         """The loop sees the rejection or the client's end first, with or without time in between. No second
@@ -95,43 +97,43 @@
         ):
             with (
                 self.subTest(cls=cls, may_cancel=cancels, worker_first=worker_first, between=between),
-                staged(settings=settings(cancels)) as stage,
+                running_harness(settings=settings(cancels)) as harness,
             ):
-                client = stage.client()
-                client.say(job(cls, "a"))
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
-                stage.until(lambda s=stage: s.begun(), "the first attempt")
-                (peer,) = [peer for worker in stage.workers for peer in worker.peers]
-                stage.first(to_worker if worker_first else lambda conn: not to_worker(conn))
-                peer.say(http(503, "Srv-Declined: 1"))
+                client = harness.client()
+                client.send(job_request(cls, "a"))
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
+                harness.run_until(lambda s=harness: s.begun(), "the first attempt")
+                (peer,) = [peer for worker in harness.workers for peer in worker.peers]
+                harness.first(leads_to_worker if worker_first else lambda conn: not leads_to_worker(conn))
+                peer.send(http_response(503, "Srv-Declined: 1"))
                 if between:
-                    stage.turn(5)
-                    stage.hold(lambda conn: conn.connecting)
-                    stage.pass_time(between)  # after 40 ms the next attempt's connection is established
+                    harness.run_turns(5)
+                    harness.hold_back(lambda conn: conn.connecting)
+                    harness.advance_clock(between)  # after 40 ms the next attempt's connection is established
                 client.close()
-                stage.until(lambda s=stage: all_ended(s), "the client's end")
-                stage.let()
-                stage.turn(5)
-                stage.pass_time(1000)
-                self.assertEqual(stage.begun(), ["a"])
+                harness.run_until(lambda s=harness: all_ended(s), "the client's end")
+                harness.release_held()
+                harness.run_turns(5)
+                harness.advance_clock(1000)
+                self.assertEqual(harness.begun(), ["a"])
 
     def test_many_clients_that_leave_in_one_turn_of_the_loop(self) -> None:
-        with staged(settings=settings(False)) as stage:
-            clients = [stage.client() for _ in range(60)]
+        with running_harness(settings=settings(False)) as harness:
+            clients = [harness.client() for _ in range(60)]
             for i, client in enumerate(clients):
-                client.say(job(CLASSES[i % 3], f"b{i}"))
-            stage.hold(lambda conn: conn.connecting)
-            stage.until(lambda: stage.core.outstanding == 60, "the jobs")
-            stage.pass_time(40)
+                client.send(job_request(CLASSES[i % 3], f"b{i}"))
+            harness.hold_back(lambda conn: conn.connecting)
+            harness.run_until(lambda: harness.core.outstanding == 60, "the jobs")
+            harness.advance_clock(40)
             for client in clients:
                 client.close()
-            stage.let()
-            stage.first(lambda conn: not conn.connecting)
-            stage.until(lambda: all_ended(stage), "their ends")
-            stage.pass_time(1000)
-            self.assertEqual(stage.begun(), [])
-            self.assertEqual(len(stage.service.edge.connections), 0)
+            harness.release_held()
+            harness.first(lambda conn: not conn.connecting)
+            harness.run_until(lambda: all_ended(harness), "their ends")
+            harness.advance_clock(1000)
+            self.assertEqual(harness.begun(), [])
+            self.assertEqual(len(harness.service.http_front.connections), 0)
 
     def test_the_rest_of_a_partly_sent_request_is_not_sent(self) -> None:
         """A worker begins a job at its last byte. The worker's socket has taken only a part of the request,
@@ -142,13 +144,13 @@
 
     def check_rest_is_not_sent(self, held_up: bool) -> None:
         """With `held_up` the socket takes the rest in the turn of the loop that sees the client leave."""
-        with staged(settings=settings(False)) as stage:
-            client = stage.client()
-            client.say(job("result-post", "a", body=bytes(60_000)))
-            stage.hold(lambda conn: conn.connecting)
-            stage.until(lambda: stage.core.outstanding, "the job")
-            stage.pass_time(40)
-            (conn,) = [c for c in stage.loop.connections.all() if c.connecting]
+        with running_harness(settings=settings(False)) as harness:
+            client = harness.client()
+            client.send(job_request("result-post", "a", body=bytes(60_000)))
+            harness.hold_back(lambda conn: conn.connecting)
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            harness.advance_clock(40)
+            (conn,) = [c for c in harness.loop.connections.all() if c.connecting]
 
             class LimitedSocket:
                 """A socket that takes 10,000 bytes and then no more."""
@@ -166,58 +168,58 @@
                     return getattr(conn_sock, name)
 
             conn_sock = conn.sock
-            stage.let()
+            harness.release_held()
             conn.sock = LimitedSocket()  # type: ignore[assignment]
-            stage.until(lambda: conn.taken == 10_000, "a part of the request")
+            harness.run_until(lambda: conn.bytes_sent == 10_000, "a part of the request")
             if held_up:
-                stage.first(lambda other: other is conn)
+                harness.first(lambda other: other is conn)
                 LimitedSocket.remaining = 100_000
             client.close()
-            stage.until(lambda: all_ended(stage), "the client's end")
-            stage.pass_time(100)
-            self.assertEqual(stage.begun(), [])
+            harness.run_until(lambda: all_ended(harness), "the client's end")
+            harness.advance_clock(100)
+            self.assertEqual(harness.begun(), [])
             self.assertIs(conn.closed, True)
 
     def test_a_gearman_client_that_leaves(self) -> None:
         """An attempt that has begun runs on for a resubmission. If the worker rejects it, the job is not sent
         again. The attempt at a time-lookup is cancelled."""
         for cls in CLASSES:
-            with self.subTest(cls=cls), staged(gearman=True, settings=settings(True)) as stage:
-                client = stage.client("gearman")
-                client.say(pack(Kind.SUBMIT_JOB, cls.encode(), b"g", b"", magic=b"\0REQ"))
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
-                stage.until(lambda s=stage: s.begun(), "the first attempt")
+            with self.subTest(cls=cls), running_harness(gearman=True, settings=settings(True)) as harness:
+                client = harness.client("gearman")
+                client.send(pack(Kind.SUBMIT_JOB, cls.encode(), b"g", b"", magic=b"\0REQ"))
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
+                harness.run_until(lambda s=harness: s.begun(), "the first attempt")
                 client.close()
-                stage.until(lambda s=stage: not len(s.service.gearman.connections), "its end")
-                peer = next(peer for worker in stage.workers for peer in worker.peers)
+                harness.run_until(lambda s=harness: not len(s.service.gearman.connections), "its end")
+                peer = next(peer for worker in harness.workers for peer in worker.peers)
                 if cls != "time-lookup":  # whose attempt was cancelled
-                    self.assertEqual(stage.core.outstanding, 1)
-                    peer.say(http(503, "Srv-Declined: 1"))
-                stage.until(lambda s=stage: all_ended(s), "the job's end")
-                stage.pass_time(1000)
-                self.assertEqual(stage.begun(), ["g"])
+                    self.assertEqual(harness.core.outstanding, 1)
+                    peer.send(http_response(503, "Srv-Declined: 1"))
+                harness.run_until(lambda s=harness: all_ended(s), "the job's end")
+                harness.advance_clock(1000)
+                self.assertEqual(harness.begun(), ["g"])
 
     def test_a_gearman_client_that_submits_its_job_again_joins_it(self) -> None:
         """The client leaves and comes back while an attempt is under way. If the worker rejects that attempt,
         the job is sent again."""
-        with staged(gearman=True, settings=settings(True)) as stage:
-            client = stage.client("gearman")
+        with running_harness(gearman=True, settings=settings(True)) as harness:
+            client = harness.client("gearman")
             submit = pack(Kind.SUBMIT_JOB, b"result-post", b"g", b"", magic=b"\0REQ")
-            client.say(submit)
-            stage.until(lambda: stage.core.outstanding, "the job")
-            stage.pass_time(40)
-            stage.until(lambda: stage.begun(), "the first attempt")
+            client.send(submit)
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            harness.advance_clock(40)
+            harness.run_until(lambda: harness.begun(), "the first attempt")
             client.close()
-            stage.until(lambda: not len(stage.service.gearman.connections), "its end")
-            again = stage.client("gearman")
-            again.say(submit)
-            stage.until(lambda: again.look(), "its handle")
-            peer = next(peer for worker in stage.workers for peer in worker.peers)
-            peer.say(http(503, "Srv-Declined: 1"))
-            stage.turn(5)
-            stage.pass_time(40)
-            stage.until(lambda: stage.begun() == ["g", "g"], "the second attempt")
+            harness.run_until(lambda: not len(harness.service.gearman.connections), "its end")
+            again = harness.client("gearman")
+            again.send(submit)
+            harness.run_until(lambda: again.read_available(), "its handle")
+            peer = next(peer for worker in harness.workers for peer in worker.peers)
+            peer.send(http_response(503, "Srv-Declined: 1"))
+            harness.run_turns(5)
+            harness.advance_clock(40)
+            harness.run_until(lambda: harness.begun() == ["g", "g"], "the second attempt")
 
 
 class HeldUpProcess(unittest.TestCase):
@@ -226,68 +228,68 @@
 
     def test_as_the_connection_to_a_worker_is_established(self) -> None:
         for cls, way in itertools.product(CLASSES, ("close", "reset")):
-            with self.subTest(cls=cls, way=way), staged(settings=settings(True)) as stage:
-                client = stage.client()
-                client.say(job(cls, "a"))
-                stage.hold(lambda conn: conn.connecting)
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                stage.pass_time(40)
+            with self.subTest(cls=cls, way=way), running_harness(settings=settings(True)) as harness:
+                client = harness.client()
+                client.send(job_request(cls, "a"))
+                harness.hold_back(lambda conn: conn.connecting)
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                harness.advance_clock(40)
                 leave(client, way)
-                stage.first(lambda conn: conn.connecting)
-                stage.let()
-                stage.turn(5)
-                stage.pass_time(1000)
-                self.assertEqual((stage.begun(), all_ended(stage)), ([], True))
+                harness.first(lambda conn: conn.connecting)
+                harness.release_held()
+                harness.run_turns(5)
+                harness.advance_clock(1000)
+                self.assertEqual((harness.begun(), all_ended(harness)), ([], True))
 
     def test_as_an_idle_connection_to_a_worker_is_reused(self) -> None:
         """The attempt could begin at once, since no connection must be established for it."""
-        with staged(settings=settings(True)) as stage:
-            first, second = stage.client(), stage.client()
-            first.say(job("time-lookup", "a"))
-            stage.until(lambda: stage.core.outstanding, "the job")
-            stage.pass_time(40)
-            stage.until(lambda: stage.begun(), "the first attempt")
-            (peer,) = [peer for worker in stage.workers for peer in worker.peers]
-            peer.say(http(202))
-            stage.turn(3)
-            second.say(job("time-lookup", "b"))
-            stage.until(lambda: stage.core.outstanding == 2, "the job")
-            client_connections = [c for c in stage.loop.connections.all() if not to_worker(c)]
-            stage.hold(lambda conn: conn in client_connections)
+        with running_harness(settings=settings(True)) as harness:
+            first, second = harness.client(), harness.client()
+            first.send(job_request("time-lookup", "a"))
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            harness.advance_clock(40)
+            harness.run_until(lambda: harness.begun(), "the first attempt")
+            (peer,) = [peer for worker in harness.workers for peer in worker.peers]
+            peer.send(http_response(202))
+            harness.run_turns(3)
+            second.send(job_request("time-lookup", "b"))
+            harness.run_until(lambda: harness.core.outstanding == 2, "the job")
+            client_connections = [c for c in harness.loop.connections.all() if not leads_to_worker(c)]
+            harness.hold_back(lambda conn: conn in client_connections)
             second.close()
-            stage.pass_time(40)
-            self.assertEqual(stage.begun(), ["a"])
-            stage.let()
-            stage.until(lambda: stage.core.outstanding == 1, "its end")
+            harness.advance_clock(40)
+            self.assertEqual(harness.begun(), ["a"])
+            harness.release_held()
+            harness.run_until(lambda: harness.core.outstanding == 1, "its end")
 
     def test_many_clients_that_have_sent_a_job_and_left(self) -> None:
         for way in ("close", "reset"):
-            with self.subTest(way=way), staged(settings=settings(True)) as stage:
-                clients = [stage.client() for _ in range(8)]
+            with self.subTest(way=way), running_harness(settings=settings(True)) as harness:
+                clients = [harness.client() for _ in range(8)]
                 for number, client in enumerate(clients):
-                    client.say(job("result-post", f"r{number}"))
+                    client.send(job_request("result-post", f"r{number}"))
                     leave(client, way)
-                stage.first(lambda conn: conn.connecting or to_worker(conn))
-                stage.turn(10)
-                stage.pass_time(500)
-                self.assertEqual((stage.begun(), all_ended(stage)), ([], True))
+                harness.first(lambda conn: conn.connecting or leads_to_worker(conn))
+                harness.run_turns(10)
+                harness.advance_clock(500)
+                self.assertEqual((harness.begun(), all_ended(harness)), ([], True))
 
     def test_a_gearman_client_that_leaves_as_a_worker_grabs_its_job(self) -> None:
         """The loop sees the worker's packet first."""
-        with staged(workers=0, gearman=True, settings=settings(True)) as stage:
-            worker, client = stage.client("gearman"), stage.client("gearman")
-            worker.say(pack(Kind.CAN_DO, b"time-lookup", magic=b"\0REQ"))
-            stage.turn(5)
-            client.say(pack(Kind.SUBMIT_JOB, b"time-lookup", b"g", b"", magic=b"\0REQ"))
-            stage.until(lambda: stage.core.outstanding, "the job")
-            stage.pass_time(40)
+        with running_harness(workers=0, gearman=True, settings=settings(True)) as harness:
+            worker, client = harness.client("gearman"), harness.client("gearman")
+            worker.send(pack(Kind.CAN_DO, b"time-lookup", magic=b"\0REQ"))
+            harness.run_turns(5)
+            client.send(pack(Kind.SUBMIT_JOB, b"time-lookup", b"g", b"", magic=b"\0REQ"))
+            harness.run_until(lambda: harness.core.outstanding, "the job")
+            harness.advance_clock(40)
             client.close()
-            worker_connection = next(c.conn for c in stage.service.gearman.connections.all() if c.abilities)
-            stage.first(lambda conn: conn is worker_connection)
-            worker.say(pack(Kind.GRAB_JOB, magic=b"\0REQ"))
-            stage.turn(5)
-            self.assertNotIn(pack(Kind.JOB_ASSIGN, b"")[:8], worker.look())
-            self.assertTrue(all_ended(stage))
+            worker_connection = next(c.conn for c in harness.service.gearman.connections.all() if c.abilities)
+            harness.first(lambda conn: conn is worker_connection)
+            worker.send(pack(Kind.GRAB_JOB, magic=b"\0REQ"))
+            harness.run_turns(5)
+            self.assertNotIn(pack(Kind.JOB_ASSIGN, b"")[:8], worker.read_available())
+            self.assertTrue(all_ended(harness))
 
 
 if __name__ == "__main__":
