--- a/eiderpin/net/edge.py
+++ b/eiderpin/net/edge.py
@@ -307,13 +307,8 @@
         self.loop, self.core, self.counters = loop, core, core.counters
         self.on_call_back, self.health = on_call_back, health
         self.max_connections = max_connections  # that may wait for a job's answer
-        self.extra_connections = (
-            extra_connections  # beyond those, for call-backs and for clients that send nothing
-        )
-        self.max_held_bytes, self.held_bytes = (
-            max_held_bytes,
-            0,
-        )  # of requests on all connections: limit and current
+        self.extra_connections = extra_connections  # beyond those, for call-backs and silent clients
+        self.max_held_bytes, self.held_bytes = max_held_bytes, 0  # of requests, on all connections together
         self.jobs = 0  # connections that wait for a request's answer
         self.eviction_queues: EvictionQueues[ClientConnection] = EvictionQueues()
         self.drain_scope = DrainScope.NONE
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -82,9 +82,8 @@
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 harness.advance_clock(40)
                 leave(client, way)
-                harness.service.listed.update_workers(
-                    rows
-                )  # in the turn of the loop that sees the client leave
+                # In the turn of the loop that sees the client leave.
+                harness.service.listed.update_workers(rows)
                 harness.run_until(lambda s=harness: all_ended(s), "the client's end")
                 harness.advance_clock(1000)
                 self.assertEqual(harness.begun(), [])
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -82,8 +82,8 @@
         for name, close in CLOSES.items():
             with self.subTest(close=name), running_harness() as harness:
                 client = idle_client(harness)
-                front = harness.loop.connections.all()
-                harness.hold_back(lambda conn, front=front: conn in front)
+                connections = harness.loop.connections.all()
+                harness.hold_back(lambda conn, connections=connections: conn in connections)
                 client.send(job_request("time-lookup", "a"))
                 close(harness)
                 harness.release_held()
@@ -124,8 +124,8 @@
             with self.subTest(asks_first=asks_first), running_harness(gearman=True) as harness:
                 client = harness.client("gearman")
                 harness.run_turns(3)
-                front = harness.loop.connections.all()
-                harness.hold_back(lambda conn, front=front: conn in front)
+                connections = harness.loop.connections.all()
+                harness.hold_back(lambda conn, connections=connections: conn in connections)
                 if asks_first:
                     client.send(echo)
                 harness.service.stop()
@@ -171,9 +171,9 @@
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 if why == "SIGTERM":
                     sigterm(harness)
-                front = [c for c in harness.loop.connections.all() if not leads_to_worker(c)]
+                connections = [c for c in harness.loop.connections.all() if not leads_to_worker(c)]
                 if not read:
-                    harness.hold_back(lambda conn, front=front: conn in front)
+                    harness.hold_back(lambda conn, connections=connections: conn in connections)
                 client.send(more)
                 harness.run_turns(3)
                 if why == "asked" and read:  # nothing may follow a request with `Connection: close`
