--- a/eiderpin/net/edge.py
+++ b/eiderpin/net/edge.py
@@ -1,4 +1,4 @@
-"""The HTTP front end: client connections, `/_health` and the workers' call-backs.
+"""The HTTP front end: client connections, `/_health` and the workers' callbacks.
 
 It passes requests to the dispatcher and answers back to the clients; it takes no scheduling decisions.
 """
@@ -24,8 +24,8 @@
 SWEEP_INTERVAL_MS = 5000.0  # between checks for connections that have been idle or unread for too long
 IDLE_TIMEOUT_MS = 120_000.0  # for a connection without a request
 UNREAD_ANSWER_TIMEOUT_MS = 15_000.0  # for a client that reads nothing of its answer
-# For receiving a request completely, counted from the connection or from the request's first byte. Slow
-# clients take over 2 s, and a client that never completes its request must get an error within 3 s.
+# A request must be received completely within this time, counted from the connection or from its first byte.
+# Slow clients take over 2 s, and a client that never completes its request must get an error within 3 s.
 REQUEST_TIMEOUT_MS = 2850.0
 NO_REQUEST = Request("", "", b"", b"", 0.0)
 MAX_PIPELINED_REQUESTS = 8  # on one connection
@@ -35,8 +35,8 @@
 WHOLE_NUMBER = re.compile(r"[0-9]{1,12}")
 DRAIN_INTERVAL_MS = 200.0  # between checks for idle connections while clients are drained
 FIRST_REQUEST_GRACE_MS = 500.0  # for the first request of a new connection to begin while clients are drained
-# For a request to be received completely while clients are drained, counted from the first check for idle
-# connections; after that it is rejected.
+# While clients are drained, a request that is still incomplete after this time is rejected. The time counts
+# from the first check for idle connections.
 PARTIAL_REQUEST_GRACE_MS = 1400.0
 DECIMAL_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
@@ -46,15 +46,15 @@
 
     NONE = 0
     CLIENTS = 1
-    ALL = 2  # also those that carry workers' call-backs
+    ALL = 2  # also those that carry workers' callbacks
 
 
 class ClientConnection:
-    """A connection to the HTTP front end, of a client or of a worker that sends call-backs."""
+    """A connection to the HTTP front end, of a client or of a worker that sends callbacks."""
 
     __slots__ = (
         "front", "conn", "reader", "pipelined", "request", "last_activity", "number", "keep_alive", "busy",
-        "answered", "request_timeout", "held_bytes", "carried_work", "last_was_call_back", "eviction_tier",
+        "answered", "request_timeout", "held_bytes", "carried_work", "last_was_callback", "eviction_tier",
     )  # fmt: skip
 
     def __init__(self, front: HttpFront, conn: Connection) -> None:
@@ -62,8 +62,8 @@
         self.conn = conn
         self.number = -1
         self.answered = False  # it has had an answer, so it may be idle between requests
-        self.carried_work = False  # it has carried a job or a call-back, and may carry more
-        self.last_was_call_back = False  # rather than a job
+        self.carried_work = False  # it has carried a job or a callback, and may carry more
+        self.last_was_callback = False  # rather than a job
         self.reader = http.RequestReader()
         self.pipelined: deque[http.Message] = deque()  # requests that wait for the answer of the one before
         self.request: Request | None = None
@@ -104,7 +104,7 @@
     @property
     def is_draining(self) -> bool:
         """Whether this connection belongs to those that are drained now."""
-        return self.front.drain_scope > (DrainScope.CLIENTS if self.last_was_call_back else DrainScope.NONE)
+        return self.front.drain_scope > (DrainScope.CLIENTS if self.last_was_callback else DrainScope.NONE)
 
     def start_request_timeout(self) -> None:
         """Start, or restart, the timeout by which a request must be received completely."""
@@ -193,7 +193,7 @@
         if self.conn.closed or self.conn.closing:
             return
         self.last_activity = self.front.loop.clock.now()
-        # A client whose request was wrong gets no descriptor to stay on.
+        # A client with a wrong request must not keep a descriptor.
         client_error = 400 <= status < 500
         # Requests that have been read behind this one must be answered, too.
         keep = self.keep_alive and not client_error and (not self.is_draining or bool(self.pipelined))
@@ -219,8 +219,8 @@
         return self.reader.idle and not self.pipelined and not self.conn.unsent
 
     def stop_receiving(self) -> None:
-        """Ignore further input, and reject the request that is being received. A request that is being served
-        is still answered, since its job may have run by now."""
+        """Ignore further input, and drop the pipelined requests. A request that is being served is still
+        answered, since its job may have run by now; if there is none, the next one is rejected."""
         self.conn.on_data = _discard
         target = self.pipelined[0].target if self.pipelined else self.reader.target
         self.pipelined.clear()
@@ -287,27 +287,27 @@
 
 
 class HttpFront:
-    """Accepts the connections of clients and of workers that send call-backs, and serves their requests."""
+    """Accepts the connections of clients and of workers that send callbacks, and serves their requests."""
 
     def __init__(
         self,
         loop: Loop,
         core: Dispatcher,
         listen_on: tuple[str, int] | socket.socket,
-        on_call_back: Callable[[bytes, Callable[[int], None]], None],
+        on_callback: Callable[[bytes, Callable[[int], None]], None],
         health: Callable[[], str],
         max_connections: int,
         extra_connections: int,
         max_held_bytes: int,
         accepting: bool = True,
     ) -> None:
-        """`listen_on` is an address or a listening socket. `on_call_back` gets the body of a worker's
-        call-back and a function that answers it with a status; `health` returns the state that `/_health`
+        """`listen_on` is an address or a listening socket. `on_callback` gets the body of a worker's
+        callback and a function that answers it with a status; `health` returns the state that `/_health`
         reports. With `accepting` False nothing is accepted until the listener is started."""
         self.loop, self.core, self.counters = loop, core, core.counters
-        self.on_call_back, self.health = on_call_back, health
+        self.on_callback, self.health = on_callback, health
         self.max_connections = max_connections  # that may wait for a job's answer
-        self.extra_connections = extra_connections  # beyond those, for call-backs and silent clients
+        self.extra_connections = extra_connections  # beyond those, for callbacks and silent clients
         self.max_held_bytes, self.held_bytes = max_held_bytes, 0  # of requests, on all connections together
         self.jobs = 0  # connections that wait for a request's answer
         self.eviction_queues: EvictionQueues[ClientConnection] = EvictionQueues()
@@ -319,7 +319,7 @@
         loop.deadlines.set(loop.clock.now() + SWEEP_INTERVAL_MS, self.sweep)
 
     def accept_connection(self, conn: Connection) -> None:
-        """Take on a new connection, and close others or stop accepting where there are too many."""
+        """Add a new connection. If there are too many, close others or accept no more for a while."""
         self.counters.add("in.edge_connections")
         connection = ClientConnection(self, conn)
         connection.number = self.connections.add(connection)
@@ -354,7 +354,7 @@
         return waiter if isinstance(waiter, ClientConnection) and waiter.is_transferable(request) else None
 
     def adopt(self, sock: socket.socket) -> ClientConnection:
-        """Take on a client's connection from another process, which transfers its request as well."""
+        """Add a client's connection that another process has transferred together with its request."""
         connection = ClientConnection(self, Connection(self.loop, sock, False))
         connection.number = self.connections.add(connection)
         connection.cancel_request_timeout()
@@ -399,7 +399,7 @@
 
     def drain_connections(self, scope: DrainScope, after: float) -> None:
         """Stop keep-alive on the connections in `scope`, and from `after` ms on close the idle ones. The
-        listener stays open, for call-backs and for what a balancer still sends."""
+        listener stays open, for callbacks and for what a balancer still sends."""
         if scope is self.drain_scope:
             return
         self.drain_scope = scope
@@ -437,7 +437,7 @@
     def close_remaining(self, at_once: bool) -> bool:
         """Close the remaining connections once everything is answered, before the process exits. To be called
         until it returns True: none is left. Unread input is served first, and its jobs need the listener for
-        their call-backs. With `at_once` nothing is served any more, and no client is waited for."""
+        their callbacks. With `at_once` nothing is served any more, and no client is waited for."""
         if at_once and self.listener.accepting:
             self.listener.ready(READ)  # clients that have connected by now get a rejection
         self.close_idle(at_once)
@@ -476,7 +476,7 @@
     # Requests.
 
     def serve(self, connection: ClientConnection, message: http.Message) -> None:
-        """Answer a request, or pass the job that it is on to the dispatcher."""
+        """Answer a request, or submit its job to the dispatcher."""
         path, cls = message.path, self.class_of(message.target)
         if path == "/_health":
             if message.method not in ("GET", "HEAD"):
@@ -489,8 +489,8 @@
             if message.method != "POST":
                 connection.reply(405, headers=("Allow: POST",))
             else:
-                connection.carried_work = connection.last_was_call_back = True
-                self.on_call_back(message.body, connection.reply)
+                connection.carried_work = connection.last_was_callback = True
+                self.on_callback(message.body, connection.reply)
         elif cls in self.core.classes:
             if message.method != "POST":
                 connection.reply(405, headers=("Allow: POST",))
@@ -527,7 +527,7 @@
             self.counters.add("in.bad.422")
             connection.reply(422, b"this Idempotency-Key is that of a job that asked for something else\n")
             return
-        connection.carried_work, connection.last_was_call_back = True, False
+        connection.carried_work, connection.last_was_callback = True, False
         if connection.busy and not joined.ended:
             connection.set_request(joined)
             self.account_memory(connection)
--- a/eiderpin/net/gearman_front.py
+++ b/eiderpin/net/gearman_front.py
@@ -175,7 +175,7 @@
                 Kind.STATUS_RES, args[0], *self.front.status_of(self.front.find_request(args[0]))
             )
         elif kind is Kind.GET_STATUS_UNIQUE:
-            request = self.core.request_by_unique(_text(args[0]))
+            request = self.core.request_by_unique(_decode_text(args[0]))
             known, running, numerator, denominator = self.front.status_of(request)
             waiting = len(request.waiters) if request is not None else 0
             self.send_packet(
@@ -188,11 +188,13 @@
             else:
                 self.send_error("UNKNOWN_OPTION", "the one option is exceptions")
         elif kind is Kind.SET_CLIENT_ID:
-            self.client_id = "".join(c if c.isprintable() and c != " " else "_" for c in _text(args[0]))[:64]
+            self.client_id = "".join(
+                c if c.isprintable() and c != " " else "_" for c in _decode_text(args[0])
+            )[:64]
         elif kind in (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT):
-            self.add_ability(_text(args[0]), args[1] if len(args) > 1 else b"0")
+            self.add_ability(_decode_text(args[0]), args[1] if len(args) > 1 else b"0")
         elif kind is Kind.CANT_DO:
-            self.remove_abilities([_text(args[0])])
+            self.remove_abilities([_decode_text(args[0])])
         elif kind is Kind.RESET_ABILITIES:
             self.remove_abilities(list(self.abilities))
         elif kind is Kind.PRE_SLEEP:
@@ -212,7 +214,7 @@
 
     def submit(self, kind: Kind, function: bytes, unique: bytes, body: bytes) -> None:
         """Submit a job to the dispatcher, and reply with its handle or an error."""
-        cls = _text(function)
+        cls = _decode_text(function)
         spec = self.core.classes.get(cls)
         if spec is None:
             self.send_error("UNKNOWN_FUNCTION", f"there is no class {cls!r}")
@@ -221,12 +223,12 @@
             self.send_error("TOO_MANY", "this connection waits for too many jobs")
             return
         # By convention of the protocol, a unique id of one dash stands for the data itself.
-        name = _text(unique)
+        unique_id = _decode_text(unique)
         if unique == b"-":
-            name = "data-" + hashlib.sha1(function + b"\0" + body).hexdigest()
+            unique_id = "data-" + hashlib.sha1(function + b"\0" + body).hexdigest()
         priority, background = SUBMIT_KINDS[kind]
         request = Request(
-            cls, name, b"/" + function, body, self.core.clock.now() + spec.deadline,
+            cls, unique_id, b"/" + function, body, self.core.clock.now() + spec.deadline,
             priority=priority, background=background,
         )  # fmt: skip
         submission = Submission(self)
@@ -234,7 +236,7 @@
             joined = self.core.submit(request, None if background else submission)
         except JobMismatchError:
             self.send_error(
-                "OTHER_JOB", f"the unique id {name!r} is that of a job that asked for something else"
+                "OTHER_JOB", f"the unique id {unique_id!r} is that of a job that asked for something else"
             )
             return
         handle = self.front.handle_of(joined)
@@ -434,7 +436,7 @@
         self.listener = Listener(loop, address, self.accept_connection, accepting=not shared, shared=shared)
 
     def accept_connection(self, conn: Connection) -> None:
-        """Take on a new connection, unless there are too many."""
+        """Add a new connection, or close it and accept no more for a while if there are too many."""
         self.core.counters.add("in.gearman_connections")
         if len(self.connections) >= self.max_connections:
             conn.close()
@@ -578,6 +580,6 @@
     return None
 
 
-def _text(data: bytes) -> str:
+def _decode_text(data: bytes) -> str:
     """Bytes of a name or an id as text, one character for each byte."""
     return data.decode("latin-1")
--- a/eiderpin/net/management.py
+++ b/eiderpin/net/management.py
@@ -14,7 +14,7 @@
 from eiderpin.net.loop import Connection, Listener, Loop
 
 MAX_LINE_BYTES = 256  # of a call, unless it is an extension's
-# For receiving a call completely and for its reply to be taken, counted from the connection.
+# A call must be received completely, and its reply be read, within this time, counted from the connection.
 CALL_TIMEOUT_MS = 2000.0
 
 
@@ -106,7 +106,7 @@
         self.listener = Listener(loop, address, self.accept_connection)
 
     def accept_connection(self, conn: Connection) -> None:
-        """Take on a new caller, and close the oldest connection if there are too many."""
+        """Add a new caller, and close the oldest connection if there are too many."""
         if len(self.open_connections) >= self.max_connections:
             # The oldest has had the most time; callers that send nothing must not keep others out.
             next(iter(self.open_connections)).conn.close()
--- a/eiderpin/net/room.py
+++ b/eiderpin/net/room.py
@@ -14,9 +14,9 @@
 
     REJECTED = 0  # its request was rejected, and the client has not closed yet
     SILENT = 1  # nothing has been received
-    ANSWERED = 2  # it has had an answer, but carried neither a job nor a call-back
+    ANSWERED = 2  # it has had an answer, but carried neither a job nor a callback
     PARTIAL = 3  # part of a request has been received
-    KEPT_ALIVE = 4  # it has carried jobs or call-backs, and may carry more
+    KEPT_ALIVE = 4  # it has carried jobs or callbacks, and may carry more
 
 
 # How long a connection must have been silent before it may be closed. The first request of a new connection
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -164,10 +164,10 @@
         ):
             with self.subTest(why=why, more=more[:10], read=read), running_harness() as harness:
                 client = harness.client()
-                asks = job_request("time-lookup", "a")
+                request = job_request("time-lookup", "a")
                 if why == "asked":
-                    asks = asks.replace(b"Req-Id", b"Connection: close\r\nReq-Id")
-                client.send(asks)
+                    request = request.replace(b"Req-Id", b"Connection: close\r\nReq-Id")
+                client.send(request)
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 if why == "SIGTERM":
                     sigterm(harness)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -71,7 +71,7 @@
                     self.assertEqual(raw(program.edge, data)[:13], b"HTTP/1.1 %d " % status)
             self.assertEqual(http_call(program.edge, "GET", "/_health")[0], 200)
 
-    def test_call_backs_are_always_answered_even_before_the_202_is_sent(self) -> None:
+    def test_callbacks_are_always_answered_even_before_the_202_is_sent(self) -> None:
         """A worker may call back before it has answered the dispatcher's request, more often than needed, and
         for a job that is not known."""
 
@@ -86,11 +86,11 @@
         with running([worker]) as (program, _):
             answer = http_call(program.edge, "POST", "/result-post", b"", Req_Id="a1")
             self.assertEqual(answer[:2], (200, b"early"))
-            wait_for(lambda: len(statuses) == 3, "the call-backs")
+            wait_for(lambda: len(statuses) == 3, "the callbacks")
             statuses.append(worker.tell("unknown", "running", share=0.5))
             self.assertEqual(statuses, [204] * 4)
 
-    def test_malformed_call_backs_are_rejected_and_unknown_content_is_ignored(self) -> None:
+    def test_malformed_callbacks_are_rejected_and_unknown_content_is_ignored(self) -> None:
         cases = [
             (b"", 400), (b"[1,2", 400), (b"[]", 400), (b"{}", 400), (b'{"id":1,"state":"done"}', 400),
             (b'{"id":"a","state":[]}', 400), (b'{"id":"a","state":"odd"}', 204),
@@ -292,14 +292,14 @@
             self.assertEqual(worker.ran, {"same": 1})
 
     def test_silent_and_incomplete_connections_are_closed_in_time_and_kept_alive_ones_stay(self) -> None:
-        ask = b"POST /time-lookup HTTP/1.1\r\nReq-Id: %s\r\nContent-Length: 0\r\n\r\n"
+        job_template = b"POST /time-lookup HTTP/1.1\r\nReq-Id: %s\r\nContent-Length: 0\r\n\r\n"
         cases = [(b"", b""), (b"\r\n", b"HTTP/1.1 408 "), (b"POST /time", b"HTTP/1.1 408 "),
-                 (ask[:-2] % b"h", b"HTTP/1.1 408 "),
-                 (ask.replace(b"0\r\n\r\n", b"9\r\n\r\n") % b"b", b"HTTP/1.1 408 ")]  # fmt: skip
+                 (job_template[:-2] % b"h", b"HTTP/1.1 408 "),
+                 (job_template.replace(b"0\r\n\r\n", b"9\r\n\r\n") % b"b", b"HTTP/1.1 408 ")]  # fmt: skip
         with running([HttpWorker("h1")]) as (program, _):
             host, port = program.edge.split(":")
             with socket.create_connection((host, int(port)), timeout=20) as kept:
-                kept.sendall(ask % b"k1")
+                kept.sendall(job_template % b"k1")
                 self.assertIn(b"200 OK", kept.recv(65536))
                 start = time.monotonic()
                 socks = [socket.create_connection((host, int(port)), timeout=20) for _ in cases]
@@ -314,7 +314,7 @@
                     with self.subTest(data=data), sock:
                         self.assertEqual(sock.recv(13), answer)
                 self.assertLess(time.monotonic() - start, 3.0)
-                kept.sendall(ask % b"k2")
+                kept.sendall(job_template % b"k2")
                 self.assertIn(b"200 OK", kept.recv(65536))
 
     def test_an_error_is_not_destroyed_by_a_reset(self) -> None:
@@ -333,27 +333,27 @@
     def test_a_flood_of_connections_without_jobs_does_not_close_kept_alive_ones(self) -> None:
         """There are more of them than there is room for. Clients that have sent jobs keep their connections,
         and a new client still gets one."""
-        ask = b"POST /time-lookup HTTP/1.1\r\nReq-Id: %s\r\nContent-Length: 0\r\n\r\n"
+        job_template = b"POST /time-lookup HTTP/1.1\r\nReq-Id: %s\r\nContent-Length: 0\r\n\r\n"
         with running([HttpWorker("h1")], limits={"sockets": 256}) as (program, _):
             host, port = program.edge.split(":")
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as open_sockets:
 
                 def connect() -> socket.socket:
-                    return held.enter_context(socket.create_connection((host, int(port)), timeout=20))
+                    return open_sockets.enter_context(socket.create_connection((host, int(port)), timeout=20))
 
                 kept_alive = [connect() for _ in range(85)]
                 for i, sock in enumerate(kept_alive):
-                    sock.sendall(ask % b"u%d" % i)
+                    sock.sendall(job_template % b"u%d" % i)
                     self.assertIn(b"200 OK", sock.recv(65536))
                 for i in range(400):
                     without_job = connect()
                     if i % 2:
                         without_job.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
                 new = connect()
-                new.sendall(ask % b"new")
+                new.sendall(job_template % b"new")
                 self.assertIn(b"200 OK", new.recv(65536))
                 for i, sock in enumerate(kept_alive):
-                    sock.sendall(ask % b"v%d" % i)
+                    sock.sendall(job_template % b"v%d" % i)
                     self.assertIn(b"200 OK", sock.recv(65536))
                 self.assertGreater(program.counters()["in.made_room"], 100)
 
@@ -361,15 +361,20 @@
         """It is sent in parts for over 2 s, while more clients than there is room for begin a request and
         stay."""
         worker = HttpWorker("h1")
-        with running([worker], limits={"sockets": 96}) as (program, _), contextlib.ExitStack() as held:
+        with (
+            running([worker], limits={"sockets": 96}) as (program, _),
+            contextlib.ExitStack() as open_sockets,
+        ):
             host, port = program.edge.split(":")
-            slow = held.enter_context(socket.create_connection((host, int(port)), timeout=20))
+            slow = open_sockets.enter_context(socket.create_connection((host, int(port)), timeout=20))
             request = b"POST /time-lookup HTTP/1.1\r\nReq-Id: slow\r\nContent-Length: 10\r\n\r\n0123456789"
             step = len(request) // 5
             start = time.monotonic()
             for i in range(6):
                 for _ in range(20):
-                    partial = held.enter_context(socket.create_connection((host, int(port)), timeout=20))
+                    partial = open_sockets.enter_context(
+                        socket.create_connection((host, int(port)), timeout=20)
+                    )
                     partial.sendall(request[:20])
                 slow.sendall(request[i * step : (i + 1) * step] if i < 5 else request[5 * step :])
                 time.sleep(max(0.0, start + 0.45 * (i + 1) - time.monotonic()) if i < 5 else 0)
@@ -403,10 +408,10 @@
         worker = HttpWorker("h1", never_finish)
         with running([worker], limits={"sockets": 1024, "memory_mb": 16}) as (program, _):
             host, port = program.edge.split(":")
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as open_sockets:
                 socks = []
                 for i in range(36):  # 36 times 60,000 bytes are over 16 MB / 8
-                    sock = held.enter_context(socket.create_connection((host, int(port)), timeout=20))
+                    sock = open_sockets.enter_context(socket.create_connection((host, int(port)), timeout=20))
                     sock.sendall(b"POST /result-post HTTP/1.1\r\nReq-Id: m%d\r\n" % i)
                     sock.sendall(b"Content-Length: 60000\r\n\r\n" + bytes(60000))
                     socks.append(sock)
@@ -582,10 +587,10 @@
         worker = HttpWorker("h1")
         with running([worker], limits={"sockets": 200}) as (program, _):
             host, port = program.edge.split(":")
-            held = [socket.create_connection((host, int(port))) for _ in range(300)]
+            open_sockets = [socket.create_connection((host, int(port))) for _ in range(300)]
             for i in range(5):
                 self.assertEqual(http_call(program.edge, "POST", "/time-lookup", b"", Req_Id=f"l{i}")[0], 200)
-            for sock in held:
+            for sock in open_sockets:
                 sock.close()
 
     def test_jobs_are_served_when_the_kernel_grants_no_further_descriptors(self) -> None:
@@ -594,27 +599,27 @@
         with running([worker]) as (program, _):
             resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (40, 40))
             host, port = program.edge.split(":")
-            held = [socket.create_connection((host, int(port))) for _ in range(60)]
+            open_sockets = [socket.create_connection((host, int(port))) for _ in range(60)]
             for i in range(5):
                 self.assertEqual(http_call(program.edge, "POST", "/time-lookup", b"", Req_Id=f"l{i}")[0], 200)
             self.assertGreaterEqual(program.counters()["in.no_descriptor"], 1)
-            for sock in held:
+            for sock in open_sockets:
                 sock.close()
 
-    def test_beyond_the_limit_of_busy_connections_jobs_are_rejected_and_call_backs_answered(self) -> None:
-        """Without the call-backs, the jobs that use up the limit could never end."""
+    def test_beyond_the_limit_of_busy_connections_jobs_are_rejected_and_callbacks_answered(self) -> None:
+        """Without the callbacks, the jobs that use up the limit could never end."""
         worker = HttpWorker("h1", never_finish)
         with running([worker], limits={"sockets": 104}) as (program, _):
             host, port = program.edge.split(":")
-            held = [socket.create_connection((host, int(port)), timeout=20) for _ in range(60)]
-            for i, sock in enumerate(held):
+            open_sockets = [socket.create_connection((host, int(port)), timeout=20) for _ in range(60)]
+            for i, sock in enumerate(open_sockets):
                 sock.sendall(b"POST /result-post HTTP/1.1\r\nReq-Id: b%d\r\nContent-Length: 0\r\n\r\n" % i)
             wait_for(lambda: program.counters().get("in.requests") == 47, "the room to be taken")
             status, _, headers = http_call(program.edge, "POST", "/result-post", Req_Id="x")
             self.assertEqual(status, 503)
             self.assertTrue(0 < float(headers["retry-after"]) <= 2.0)
             self.assertEqual(worker.tell("unknown", "started"), 204)
-            for sock in held:
+            for sock in open_sockets:
                 sock.close()
 
     def test_an_invalid_configuration_is_one_line_and_exit_status_2(self) -> None:
