--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -147,10 +147,10 @@
 RECOVER = """
 import json, resource, sys, time
 from eiderpin import configuration, service
-from eiderpin.parts.durable import Options
+from eiderpin.parts.durable import DurableOptions
 config = configuration.load(sys.argv[1], "")
 begun = time.perf_counter()
-config.durable = Options(sys.argv[2], frozenset(["result-post"]))
+config.durable = DurableOptions(sys.argv[2], frozenset(["result-post"]))
 s = service.Service(config)
 opened = time.perf_counter() - begun
 s.ledger.turn()
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -16,7 +16,7 @@
 from benchmarks.rig import ROOT
 from benchmarks.scale.hollow import HollowOptions
 from benchmarks.store_rig import Cluster
-from eiderpin.parts.store import address
+from eiderpin.parts.store import parse_address
 
 REGIONS = 3
 OBSERVER_LIMIT = 2_000  # that a member serves
@@ -96,7 +96,9 @@
     def __init__(self, folder: Path, dispatchers: int, members: int, seed: int, **parts: Any) -> None:
         """Nothing is started yet."""
         self.cluster = Cluster(folder, members, OBSERVER_LIMIT, **parts)
-        self.addresses = {name: address(at, name) for name, at in self.cluster.observer_addresses.items()}
+        self.addresses = {
+            name: parse_address(at, name) for name, at in self.cluster.observer_addresses.items()
+        }
         self.regions = {name: f"region-{n % REGIONS}" for n, name in enumerate(self.addresses)}
         self.dispatchers, self.seed = dispatchers, seed
         self.hosts: list[HollowHost] = []
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -26,7 +26,7 @@
 from eiderpin.fleet.observer import Observer
 from eiderpin.fleet.subscription import Subscription
 from eiderpin.net.loop import READ, Connection, Loop
-from eiderpin.parts.observer import Endpoint
+from eiderpin.parts.observer import MemberEndpoint
 from eiderpin.store.names import CURRENT
 from eiderpin.store.observer_protocol import ConfigOutcome, Report
 from eiderpin.store.observer_registry import version_of
@@ -152,7 +152,9 @@
         self.rng = random.Random(options.seed)
         self.clock, self.deadlines, self.counters = Clock(), Deadlines(), Counters()
         self.loop = CountingLoop(self.clock, self.deadlines, self.counters)
-        self.endpoints = [Endpoint(m, (host, port), region) for m, host, port, region in options.endpoints]
+        self.endpoints = [
+            MemberEndpoint(m, (host, port), region) for m, host, port, region in options.endpoints
+        ]
         self.applied: dict[str, list[float]] = {}  # change -> times, since the last figures
         self.lags: list[float] = []
         self.ended = False
--- a/eiderpin/cli/config.py
+++ b/eiderpin/cli/config.py
@@ -15,7 +15,7 @@
     from eiderpin.store.fleet_view import ConfigView
 
 from eiderpin.cli.store import door, fleet_view, store_client
-from eiderpin.configuration import ConfigError, read_shared
+from eiderpin.configuration import ConfigError, read_shared_config
 from eiderpin.store.client import Failed, StoreClient
 from eiderpin.store.names import CURRENT, IN_FORCE, OBSERVERS, PRESENT, VERSIONS
 
@@ -31,7 +31,7 @@
 def problem(text: bytes) -> str:
     """What is wrong with it; empty: nothing."""
     try:
-        read_shared(STAND_IN, text)
+        read_shared_config(STAND_IN, text)
     except ConfigError as error:
         return str(error)
     return ""
--- a/eiderpin/configuration.py
+++ b/eiderpin/configuration.py
@@ -16,9 +16,9 @@
 
 if TYPE_CHECKING:
     from eiderpin.net.static_list import ListedWorkers
-    from eiderpin.parts.durable import Options
+    from eiderpin.parts.durable import DurableOptions
     from eiderpin.parts.observer import FollowOptions
-    from eiderpin.parts.store import Options as StoreOptions
+    from eiderpin.parts.store import StoreOptions
 
 FRONTS = "deploy/fronts.json"  # beside the program: which further fronts listen, and where
 EXTRA, EXTRA_SHARE = 48, 1 / 6  # edge connections past those that wait for jobs: so many, or this share
@@ -46,7 +46,7 @@
     gearman: tuple[str, int] | None = None  # None: off
     agent_check: tuple[str, int] | None = None
     management: tuple[str, int] | None = None  # the operators' door; None: off
-    durable: Options | None = None  # jobs that outlive the process; None: off
+    durable: DurableOptions | None = None  # jobs that outlive the process; None: off
     store: StoreOptions | None = None  # our member of the replicated store; None: off
     follow: FollowOptions | None = None  # the members whose observer we are; None: off
     workers: ListedWorkers | None = None  # that the configuration lists itself
@@ -81,18 +81,18 @@
             if name == "durable":
                 from eiderpin.parts import durable as options  # what is off is not imported
 
-                config.durable = options.read(said[name], [c.name for c in config.settings.classes])
+                config.durable = options.read_options(said[name], [c.name for c in config.settings.classes])
                 continue
             if name == "store" and isinstance(said[name], dict) and "follow" in said[name]:
                 from eiderpin.parts import observer as follow_options
 
-                config.follow = follow_options.read(said[name], config.name)
+                config.follow = follow_options.read_options(said[name], config.name)
                 continue
             if name == "store":
                 from eiderpin.parts import store as store_options
 
                 once = [c.name for c in config.settings.classes if c.repeat is not api.Repeat.FREE]
-                config.store = store_options.read(said[name], config.name, once)
+                config.store = store_options.read_options(said[name], config.name, once)
                 continue
             if name not in ("gearman", "agent_check"):
                 raise ConfigError(f"there is no front or part {name!r}")
@@ -115,7 +115,7 @@
     with open(path, "rb") as file:
         own = parse(file.read(), toml=path.endswith(".toml"))
     config = read_said(own)
-    read_environment(config)
+    apply_environment(config)
     named = os.environ.get("EIDERPIN_FRONTS", FRONTS) if parts is None else parts
     if parts or (named and os.path.exists(named)):
         with open(named, "rb") as file:
@@ -142,7 +142,7 @@
     """What the store's configuration said last counts from the start on. One that can't be used is left."""
     try:
         with open(last_shared(config), "rb") as file:
-            new = read_shared(own, file.read())
+            new = read_shared_config(own, file.read())
     except (OSError, ConfigError):
         return config
     for name in SHARED:
@@ -170,7 +170,7 @@
     return read_said(parse(text, toml))
 
 
-def read_shared(own: Any, text: bytes) -> Config:
+def read_shared_config(own: Any, text: bytes) -> Config:
     """The configuration that dispatchers share, as it holds for the one whose own file says `own`: what is
     each one's own stays that file's. Raises `ConfigError`."""
     shared = parse(text, toml=not text.lstrip().startswith(b"{"))
@@ -189,7 +189,7 @@
     if not isinstance(said, dict):
         raise ConfigError("the configuration must be an object")
     try:
-        settings, _ = wire.settings(said.get("settings"))
+        settings, _ = wire.decode_settings(said.get("settings"))
         workers: ListedWorkers | None = None
         if "workers" in said:
             from eiderpin.net.static_list import read_workers
@@ -220,7 +220,7 @@
     )
 
 
-def read_environment(config: Config) -> None:
+def apply_environment(config: Config) -> None:
     """What the environment names counts before the file: each process may have a door of its own there."""
     door, number = os.environ.get("GW_MANAGEMENT"), os.environ.get("GW_FD")
     try:
--- a/eiderpin/fleet/observer.py
+++ b/eiderpin/fleet/observer.py
@@ -30,7 +30,7 @@
     Violation,
 )
 from eiderpin.net.loop import Connection, Loop
-from eiderpin.parts.observer import Endpoint
+from eiderpin.parts.observer import MemberEndpoint
 from eiderpin.store.framing import Frames, frame
 from eiderpin.store.observer_protocol import FROM_MEMBER, MAGIC, Leave, Rejection, Report
 from eiderpin.store.state import Event
@@ -89,7 +89,7 @@
         loop: Loop,
         counters: Counters,
         subscription: Subscription,
-        endpoints: Sequence[Endpoint],
+        endpoints: Sequence[MemberEndpoint],
         sink: ObserverSink,
         rng: random.Random,
         say: Callable[[str], None],
@@ -100,7 +100,7 @@
         self.subscription, self.rng = subscription, rng
         self.choice = MemberChoice(subscription.name, subscription.region, endpoints, rng)
         self.backoff = FullJitter(rng)
-        self.endpoint: Endpoint | None = None  # where we are, or try to be
+        self.endpoint: MemberEndpoint | None = None  # where we are, or try to be
         self.subscribed = False  # the member has accepted us
         self.standing = Standing.UNKNOWN
         self.current_at: float | None = None  # when the copy was certain to be up to date; None: never
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -21,7 +21,7 @@
 from eiderpin.net.edge import ClientConnection
 from eiderpin.net.loop import READ, Loop
 from eiderpin.net.workers import HttpWorkers
-from eiderpin.parts.durable import Options
+from eiderpin.parts.durable import DurableOptions
 
 UNREADABLE = (Locked, BadFormat, Damaged, BrokenRule, OSError)
 ASK_EVERY = 100.0  # ms between looks whether our predecessor has given the ledger up ...
@@ -34,8 +34,8 @@
     cannot be had."""
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, workers: HttpWorkers, options: Options, name: str, shared: bool,
-        say: Callable[[str], None], warn: Callable[[str], None],
+        self, loop: Loop, core: Dispatcher, workers: HttpWorkers, options: DurableOptions, name: str,
+        shared: bool, say: Callable[[str], None], warn: Callable[[str], None],
     ) -> None:  # fmt: skip
         """Open the ledger, or wait for the process beside us to give it up."""
         self.loop, self.core, self.workers = loop, core, workers
--- a/eiderpin/jobs/elsewhere.py
+++ b/eiderpin/jobs/elsewhere.py
@@ -6,13 +6,13 @@
 
 from eiderpin.core.requests import Answer, Attempt, Request
 from eiderpin.interface import Outcome
-from eiderpin.parts.durable import Options
+from eiderpin.parts.durable import DurableOptions
 
 
 class Elsewhere:
     """Implements `core.durability.DurableJobManager` for jobs that it never takes."""
 
-    def __init__(self, options: Options) -> None:
+    def __init__(self, options: DurableOptions) -> None:
         self.options = options
 
     def covers_class(self, cls: str) -> bool:
--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -20,7 +20,7 @@
 from eiderpin.jobs import records
 from eiderpin.jobs.ledger import Ledger, MayNotRun, asks_same
 from eiderpin.jobs.records import Accepted, AnyRecord, Ended, Opened, Released
-from eiderpin.parts.durable import Options
+from eiderpin.parts.durable import DurableOptions
 
 log = logging.getLogger("eiderpin")
 
@@ -44,12 +44,17 @@
     """Implements `core.durability.DurableJobManager`. Raises `Locked`, `BadFormat`, `Damaged`, `BrokenRule`
     and `OSError` where the ledger cannot be read or owned."""
 
-    def __init__(self, core: Dispatcher, options: Options, name: str, files: Files | None = None) -> None:
+    def __init__(
+        self, core: Dispatcher, options: DurableOptions, name: str, files: Files | None = None
+    ) -> None:
         self.core, self.options, self.name = core, options, name
         single = {c.name for c in core.settings.classes if c.repeat is not api.Repeat.FREE}
         self.single = tuple(sorted(single & options.classes))
         self.ledger = Ledger(
-            frozenset(self.single), options.keep, options.most, int(options.most_mb * (1 << 20))
+            frozenset(self.single),
+            options.keep_ms,
+            options.max_answers,
+            int(options.max_results_mb * (1 << 20)),
         )
         files = files if files is not None else Files(options.folder)
         self._read = 0
@@ -164,7 +169,7 @@
         job = self.ledger.find(request.cls, request.unique) if request.unique else None
         if job is None or job.ended is None:
             return None
-        if job.ended.at + self.options.keep <= self.now():
+        if job.ended.at + self.options.keep_ms <= self.now():
             return None
         if not asks_same(job.accepted, request.target, request.body):
             raise JobMismatchError
@@ -265,7 +270,7 @@
         """Its worker must tell of it within a while, again and again; else the lease is over."""
         deadlines = self.core.deadlines
         deadlines.drop(self._silences.pop(attempt, None))
-        at = self.core.clock.now() + self.options.silence
+        at = self.core.clock.now() + self.options.silence_ms
         self._silences[attempt] = deadlines.set(at, lambda: self.silent(attempt))
 
     def silent(self, attempt: Attempt) -> None:
--- a/eiderpin/jobs/recovery.py
+++ b/eiderpin/jobs/recovery.py
@@ -42,7 +42,7 @@
 def _bring_back(keeper: JobManager, core: Dispatcher, workers: WorkerLink, job: Job) -> None:
     a, now = job.accepted, core.clock.now()
     # A leased one whose deadline has passed may still be told of: its worker goes on trying for a while.
-    soonest = now + keeper.options.silence if job.out else now
+    soonest = now + keeper.options.silence_ms if job.out else now
     request = Request(
         a.cls, a.unique, a.target, a.body, max(a.deadline - keeper.ahead, soonest), a.slots, a.memory,
         a.tenant, a.key, a.hint, priority=a.priority, background=True, job=a.job, wire_id=a.wire_id,
--- a/eiderpin/parts/observer.py
+++ b/eiderpin/parts/observer.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eiderpin.parts.store import NAME, address
+from eiderpin.parts.store import NAME_PATTERN, parse_address
 
 SETTINGS = ("follow", "name", "cluster", "region")
 
 
 @dataclass(slots=True, frozen=True)
-class Endpoint:
+class MemberEndpoint:
     """Where a member serves observers. `region` may be empty."""
 
     member: str
@@ -26,10 +26,10 @@
     name: str
     cluster: str
     region: str
-    endpoints: tuple[Endpoint, ...]
+    endpoints: tuple[MemberEndpoint, ...]
 
 
-def read(said: dict[str, Any], default_name: str) -> FollowOptions:
+def read_options(said: dict[str, Any], default_name: str) -> FollowOptions:
     """The `store` part of a configuration that has `follow`.
 
     Raises:
@@ -41,7 +41,7 @@
     name, cluster = said.get("name") or default_name, said.get("cluster") or "eiderpin"
     region = said.get("region") or ""
     for what, value in (("name", name), ("cluster", cluster)):
-        if not isinstance(value, str) or not NAME.fullmatch(value):
+        if not isinstance(value, str) or not NAME_PATTERN.fullmatch(value):
             raise ValueError(f"store.{what}: {value!r}; up to 64 letters, digits and ._- are expected")
     if not isinstance(region, str):
         raise ValueError(f"store.region: {region!r}; text is expected")
@@ -52,17 +52,17 @@
     return FollowOptions(name, cluster, region, endpoints)
 
 
-def _endpoint(member: str, said: Any) -> Endpoint:
+def _endpoint(member: str, said: Any) -> MemberEndpoint:
     """One member: its address, or an object of `address` and `region`."""
     where = f"store.follow.{member}"
-    if not NAME.fullmatch(member):
+    if not NAME_PATTERN.fullmatch(member):
         raise ValueError(f"store.follow: {member!r} is no name")
     if not isinstance(said, dict):
-        return Endpoint(member, address(said, where))
+        return MemberEndpoint(member, parse_address(said, where))
     for name in said:
         if name not in ("address", "region"):
             raise ValueError(f"{where}.{name}: there is no such setting; there are address, region")
     region = said.get("region") or ""
     if not isinstance(region, str):
         raise ValueError(f"{where}.region: {region!r}; text is expected")
-    return Endpoint(member, address(said.get("address"), f"{where}.address"), region)
+    return MemberEndpoint(member, parse_address(said.get("address"), f"{where}.address"), region)
--- a/eiderpin/parts/store.py
+++ b/eiderpin/parts/store.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MOST_OBSERVERS = 1_000  # that a member serves at once, unless it is told otherwise
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+DEFAULT_MAX_OBSERVERS = 1_000  # that a member serves at once, unless it is told otherwise
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
 
 @dataclass(slots=True)
-class Options:
+class StoreOptions:
     """`listen` None: a store of one, which talks to nobody."""
 
     folder: str
@@ -21,13 +21,13 @@
     listen: tuple[str, int] | None = None
     members: dict[str, str] = field(default_factory=dict)  # that a new cluster begins with
     outcomes: frozenset[str] = frozenset()  # classes whose outcomes are kept for other dispatchers
-    keep: float = 600_000.0  # ms for which they are
+    keep_ms: float = 600_000.0  # ms for which they are
     join: bool = False  # an empty directory waits to be added, and begins no cluster
     observers: tuple[str, int] | None = None  # where observers are served; None: nowhere
-    most_observers: int = MOST_OBSERVERS
+    max_observers: int = DEFAULT_MAX_OBSERVERS
 
 
-def read(said: Any, default_name: str, single_shot: Collection[str] = ()) -> Options | None:
+def read_options(said: Any, default_name: str, single_shot: Collection[str] = ()) -> StoreOptions | None:
     """The `store` part of a configuration; None where it names no directory. Raises `ValueError`."""
     if not isinstance(said, dict):
         raise ValueError("store: an object is needed")
@@ -40,19 +40,19 @@
         raise ValueError(f"store.directory: {folder!r} is no path")
     if not folder:
         return None
-    options = Options(folder, said.get("name") or default_name, said.get("cluster") or "eiderpin")
+    options = StoreOptions(folder, said.get("name") or default_name, said.get("cluster") or "eiderpin")
     for what, value in (("name", options.name), ("cluster", options.cluster)):
-        if not isinstance(value, str) or not NAME.fullmatch(value):
+        if not isinstance(value, str) or not NAME_PATTERN.fullmatch(value):
             raise ValueError(f"store.{what}: {value!r}; up to 64 letters, digits and ._- are expected")
     if said.get("listen"):
-        options.listen = address(said["listen"], "store.listen")
+        options.listen = parse_address(said["listen"], "store.listen")
     members = said.get("members") or {}
     if not isinstance(members, dict):
         raise ValueError("store.members: an object of names and addresses is needed")
     for name, at in members.items():
-        if not NAME.fullmatch(name):
+        if not NAME_PATTERN.fullmatch(name):
             raise ValueError(f"store.members: {name!r} is no name")
-        address(at, f"store.members.{name}")
+        parse_address(at, f"store.members.{name}")
     options.members, options.join = dict(members), said.get("join") is True
     if options.members and options.name not in options.members:
         raise ValueError(f"store.members: {options.name!r}, our own name, is not among them")
@@ -62,14 +62,14 @@
     keep = said.get("keep_s", 600)
     if isinstance(keep, bool) or not isinstance(keep, int | float) or not 60 <= keep <= 80_000:
         raise ValueError(f"store.keep_s: {keep!r}; 60 to 80000 is expected")
-    options.keep = keep * 1000.0
+    options.keep_ms = keep * 1000.0
     if options.listen is None and (options.join or len(options.members) > 1):
         raise ValueError("store.listen: an address is needed where there are other members")
     _read_observers(said.get("observers"), options)
     return options
 
 
-def _read_observers(said: Any, options: Options) -> None:
+def _read_observers(said: Any, options: StoreOptions) -> None:
     """Where, and how many, observers are served. Raises `ValueError`."""
     if not said:
         return
@@ -78,14 +78,14 @@
     for name in said:
         if name not in ("listen", "limit"):
             raise ValueError(f"store.observers.{name}: there is no such setting; there are listen, limit")
-    options.observers = address(said.get("listen"), "store.observers.listen")
-    limit = said.get("limit", MOST_OBSERVERS)
+    options.observers = parse_address(said.get("listen"), "store.observers.listen")
+    limit = said.get("limit", DEFAULT_MAX_OBSERVERS)
     if isinstance(limit, bool) or not isinstance(limit, int) or not 1 <= limit <= 10_000:
         raise ValueError(f"store.observers.limit: {limit!r}; 1 to 10000 is expected")
-    options.most_observers = limit
+    options.max_observers = limit
 
 
-def address(text: Any, where: str) -> tuple[str, int]:
+def parse_address(text: Any, where: str) -> tuple[str, int]:
     """Raises `ValueError`."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not int(port) < 65536:
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -46,12 +46,14 @@
     from eiderpin.net.handover import Handover
     from eiderpin.net.management import Management
     from eiderpin.net.static_list import StaticList
-    from eiderpin.parts.durable import Options
+    from eiderpin.parts.durable import DurableOptions
     from eiderpin.parts.observer import FollowOptions
-    from eiderpin.parts.store import Options as StoreOptions
+    from eiderpin.parts.store import StoreOptions
     from eiderpin.store.host import StoreHost
 
-SETTLE = 400.0  # ms after a drain in which the front may still send new clients: idle ones are not yet closed
+DRAIN_SETTLE_MS = (
+    400.0  # ms after a drain in which the front may still send new clients: idle ones are not yet closed
+)
 LATEST_BEGIN = 3000.0  # ms in which a new process takes the clients, whatever it has not heard by then
 FEW_MORE = 6  # connections to workers that a process may add once its successor has the clients
 STORE_EVERY = 100.0  # ms between looks whether our predecessor has given its member of the store up
@@ -115,12 +117,12 @@
         except OSError as error:
             raise ConfigError(f"cannot listen: {error}") from None
         self.shutdown = Shutdown(self.core, self.http_front, self.gearman, self.workers, self.ledger)
-        self.listed: StaticList | None = None
+        self.static_list: StaticList | None = None
         if config.workers is not None:
             from eiderpin.net import static_list
 
-            self.listed = static_list.StaticList(self.core, self.workers)
-            self.listed.update_workers(config.workers)
+            self.static_list = static_list.StaticList(self.core, self.workers)
+            self.static_list.update_workers(config.workers)
         self.discovery: discovery.Discovery | None = None
         if config.discovery is not None:
             self.discovery = discovery.Discovery(
@@ -146,7 +148,7 @@
         if config.follow is not None:
             self.follow_store(config.follow)
 
-    def own_ledger(self, options: Options) -> Ownership:
+    def own_ledger(self, options: DurableOptions) -> Ownership:
         """Raises `ConfigError` where the ledger of durable jobs cannot be had."""
         try:
             from eiderpin.fleet import ownership
@@ -189,7 +191,7 @@
                 from eiderpin.jobs import elsewhere
                 from eiderpin.parts import durable as job_options
 
-                self.core.job_manager = elsewhere.Elsewhere(job_options.Options("", options.outcomes))
+                self.core.job_manager = elsewhere.Elsewhere(job_options.DurableOptions("", options.outcomes))
             return
         except ValueError as error:
             raise ConfigError(str(error)) from None
@@ -207,7 +209,7 @@
             from eiderpin.fleet.outcomes import Outcomes
 
             life = self.shared_state.life
-            self.core.job_manager = Outcomes(self.store, self.core, options.outcomes, options.keep, life)
+            self.core.job_manager = Outcomes(self.store, self.core, options.outcomes, options.keep_ms, life)
 
     def serve_observers(self, store: StoreHost, options: StoreOptions) -> None:
         """Serve dispatchers that follow the store. Raises `ConfigError`."""
@@ -216,7 +218,7 @@
         assert options.observers is not None
         try:
             store.observers = ObserverServer(
-                self.loop, self.counters, store.member, options.observers, options.most_observers
+                self.loop, self.counters, store.member, options.observers, options.max_observers
             )
         except OSError as error:
             raise ConfigError(f"store.observers.listen: {error}") from None
@@ -302,9 +304,9 @@
             if self.drained or self.fenced
             else DrainScope.NONE
         )
-        self.http_front.drain_connections(whom, 0.0 if ending else SETTLE)
+        self.http_front.drain_connections(whom, 0.0 if ending else DRAIN_SETTLE_MS)
         if self.gearman is not None:
-            self.gearman.drain_connections(whom is not DrainScope.NONE, SETTLE)
+            self.gearman.drain_connections(whom is not DrainScope.NONE, DRAIN_SETTLE_MS)
         self.share_out()
 
     def share_out(self) -> None:
@@ -455,9 +457,9 @@
         if self.discovery is not None and new.discovery is not None:
             self.config.discovery = new.discovery
             self.discovery.change_address(new.discovery)
-        if self.listed is not None and new.workers is not None:
+        if self.static_list is not None and new.workers is not None:
             self.config.workers = new.workers
-            self.listed.update_workers(new.workers)
+            self.static_list.update_workers(new.workers)
         if self.store is not None or self.control_plane is not None:  # it follows those that are there
             now = self.config.settings
             new.settings.instances, new.settings.instance = now.instances, now.instance
@@ -471,7 +473,7 @@
         try:
             with open(path, "rb") as file:
                 own = configuration.parse(file.read(), toml=path.endswith(".toml"))
-            new = configuration.read_shared(own, text)
+            new = configuration.read_shared_config(own, text)
             if self.config.store is not None:
                 configuration.replace_file(configuration.last_shared(self.config), text)
         except (OSError, ConfigError) as error:
@@ -480,7 +482,7 @@
         self.counters.add("in.reloads")
         return self.take(new)
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the planned end has come to the exit."""
         return self.shutdown.is_over()
 
@@ -522,7 +524,7 @@
         prints the counters."""
         self._take_signals()
         logs.event("listens", logging.INFO, **self.addresses())
-        while not self.over():
+        while not self.is_over():
             self.turn()
         if self.ledger is not None:
             self.ledger.close()
--- a/eiderpin/simhost.py
+++ b/eiderpin/simhost.py
@@ -15,12 +15,12 @@
     """The instances of one process; they share nothing but the numbered lists that the wire shares."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, wire.Rows] = {}
-        self._instances: dict[str, tuple[Dispatcher, wire.Names]] = {}
+        self._lists: dict[int, wire.WorkerEntries] = {}
+        self._instances: dict[str, tuple[Dispatcher, wire.ReportNames]] = {}
 
     def line(self, line: bytes) -> bytes:
         """The reply to one batch."""
-        now, groups = wire.batch(line)
+        now, groups = wire.decode_batch(line)
         replies: list[tuple[str, list[api.Action]]] = []
         for group in groups:
             try:
@@ -37,7 +37,7 @@
                 raise wire.WireError(text) from error
             if actions:
                 replies.append((name, actions))
-        return wire.reply(replies)
+        return wire.encode_reply(replies)
 
     def _group(self, now: float, name: str, events: list[dict[str, Any]]) -> list[api.Action]:
         actions: list[api.Action] = []
@@ -46,9 +46,9 @@
         for e in events:
             kind = e["m"]
             if kind == "SNAPSHOT_ROWS":
-                self._lists[e["slot"]] = wire.rows(e["lines"])
+                self._lists[e["slot"]] = wire.decode_workers(e["lines"])
             elif kind == "PROVISION":
-                settings, names = wire.settings(e.get("conf"))
+                settings, names = wire.decode_settings(e.get("conf"))
                 instance = (Dispatcher(settings, int(e.get("prng") or 0)), names)
                 self._instances[name] = instance
                 pending = []
@@ -58,9 +58,9 @@
                 instance, pending = None, []
             elif instance is not None:
                 if kind == "MEMBERS":
-                    pending.append(wire.membership(e, self._lists))
+                    pending.append(wire.decode_membership(e, self._lists))
                 else:
-                    event = wire.event(e, instance[1])
+                    event = wire.decode_event(e, instance[1])
                     if event is not None:
                         pending.append(event)
         if instance is not None and pending:
--- a/eiderpin/store/backup.py
+++ b/eiderpin/store/backup.py
@@ -15,7 +15,7 @@
 from eiderpin.durable.frames import BadFormat
 from eiderpin.durable.log import Log
 from eiderpin.durable.reading import Damaged
-from eiderpin.parts.store import NAME, address
+from eiderpin.parts.store import NAME_PATTERN, parse_address
 from eiderpin.store.anchor import Anchor
 from eiderpin.store.messages import Config, EntryKind, Hard, Snapshot
 from eiderpin.store.records import Born, Restored, whole
@@ -79,13 +79,13 @@
     `ValueError`."""
     image, generation = load(path)
     for what in (name, cluster):
-        if not NAME.fullmatch(what):
+        if not NAME_PATTERN.fullmatch(what):
             raise ValueError(f"{what!r}: up to 64 letters, digits and ._- are expected")
     if name not in members:
         raise ValueError(f"{name} is not among the members {', '.join(members)}")
     for other, where in members.items():
         if len(members) > 1:
-            address(where, other)
+            parse_address(where, other)
     if os.path.isdir(folder) and os.listdir(folder):
         raise ValueError(f"{folder}: it is not empty")
     found = Restored()
--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -14,7 +14,7 @@
 import orjson
 
 from eiderpin.net.management import ManagementConnection
-from eiderpin.parts.store import NAME, address
+from eiderpin.parts.store import NAME_PATTERN, parse_address
 from eiderpin.store import state
 from eiderpin.store.host import StoreHost
 from eiderpin.store.member import Unavailable, Watch
@@ -261,10 +261,10 @@
         name, where = text(asked, "name"), ""
         if asked["op"] in ("add", "add-standby"):
             where = text(asked, "address")
-            if not NAME.fullmatch(name):
+            if not NAME_PATTERN.fullmatch(name):
                 raise BadCall(f"name: {name!r}; up to 64 letters, digits and ._- are expected")
             try:
-                address(where, "address")
+                parse_address(where, "address")
             except ValueError as error:
                 raise BadCall(str(error)) from None
 
--- a/eiderpin/store/observer_server.py
+++ b/eiderpin/store/observer_server.py
@@ -12,7 +12,7 @@
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Deadline
 from eiderpin.net.loop import Connection, Listener, Loop
-from eiderpin.parts.store import MOST_OBSERVERS
+from eiderpin.parts.store import DEFAULT_MAX_OBSERVERS
 from eiderpin.store.framing import Frames, frame
 from eiderpin.store.member import Member, Watch
 from eiderpin.store.names import OBSERVERS
@@ -68,7 +68,7 @@
         counters: Counters,
         member: Member,
         listen: tuple[str, int],
-        most: int = MOST_OBSERVERS,
+        most: int = DEFAULT_MAX_OBSERVERS,
     ) -> None:
         """Listen, and begin to announce."""
         self.loop, self.counters, self.member = loop, counters, member
--- a/eiderpin/store/observer_sessions.py
+++ b/eiderpin/store/observer_sessions.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import TypeAlias
 
-from eiderpin.parts.store import MOST_OBSERVERS
+from eiderpin.parts.store import DEFAULT_MAX_OBSERVERS
 from eiderpin.store.admission import SnapshotAdmission
 from eiderpin.store.document_digest import DocumentDigest
 from eiderpin.store.names import OBSERVED
@@ -115,7 +115,7 @@
         member: str,
         store: Callable[[], Store],
         now: float,
-        most: int = MOST_OBSERVERS,
+        most: int = DEFAULT_MAX_OBSERVERS,
     ) -> None:
         """Begin without sessions, at the present revision."""
         self.cluster, self.generation, self.member = cluster, generation, member
--- a/eiderpin/store/transport.py
+++ b/eiderpin/store/transport.py
@@ -16,7 +16,7 @@
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Deadline
 from eiderpin.net.loop import Connection, Listener, Loop
-from eiderpin.parts.store import address
+from eiderpin.parts.store import parse_address
 from eiderpin.store.framing import Frames, frame
 from eiderpin.store.messages import Message
 
@@ -72,7 +72,7 @@
     def connect(self) -> None:
         """Try once."""
         self.again = None
-        conn = self.transport.loop.connect(address(self.where, "a member's address"))
+        conn = self.transport.loop.connect(parse_address(self.where, "a member's address"))
         if conn is None:
             self.later()
             return
@@ -232,7 +232,7 @@
         if not hello.address or self.met.get(hello.frm) == hello.address:
             return
         try:
-            address(hello.address, "its address")
+            parse_address(hello.address, "its address")
         except ValueError:
             return
         self.met.pop(hello.frm, None)
--- a/eiderpin/wire.py
+++ b/eiderpin/wire.py
@@ -18,7 +18,7 @@
     """The input is not a legal batch."""
 
 
-Rows = list[api.WorkerEntry]
+WorkerEntries = list[api.WorkerEntry]
 
 _STATES = {
     "in_service": api.WorkerState.IN_SERVICE,
@@ -82,7 +82,7 @@
 _NUMBER = (int, float)
 
 
-def settings(conf: Any) -> tuple[api.Settings, dict[str, str]]:
+def decode_settings(conf: Any) -> tuple[api.Settings, dict[str, str]]:
     """The settings, and the names that report values go by at this site."""
     if not isinstance(conf, dict):
         raise api.SettingsError("conf: an object is needed")
@@ -175,7 +175,7 @@
 # ---- events --------------------------------------------------------------------------------------------
 
 
-def rows(lines: Any) -> Rows:
+def decode_workers(lines: Any) -> WorkerEntries:
     """The entries of one numbered list."""
     return [
         api.WorkerEntry(
@@ -191,10 +191,10 @@
     ]
 
 
-Names = dict[str, str]
+ReportNames = dict[str, str]
 
 
-def _report(info: Any, names: Names) -> api.Report | None:
+def _report(info: Any, names: ReportNames) -> api.Report | None:
     if not info:
         return None
     report = api.Report()
@@ -205,7 +205,7 @@
     return report
 
 
-def _request(e: dict[str, Any], names: Names) -> api.Request:
+def _request(e: dict[str, Any], names: ReportNames) -> api.Request:
     return api.Request(
         e["rid"],
         e["class"],
@@ -219,7 +219,7 @@
     )
 
 
-def _ended(e: dict[str, Any], names: Names) -> api.AttemptEnded:
+def _ended(e: dict[str, Any], names: ReportNames) -> api.AttemptEnded:
     return api.AttemptEnded(
         e["rid"],
         e["go"],
@@ -231,17 +231,17 @@
     )
 
 
-def _progress(e: dict[str, Any], names: Names) -> api.Progress:
+def _progress(e: dict[str, Any], names: ReportNames) -> api.Progress:
     return api.Progress(e["rid"], e["go"], e["worker"], e["what"] == 1, e.get("level") or 0.0)
 
 
-def _probed(e: dict[str, Any], names: Names) -> api.ProbeEnded:
+def _probed(e: dict[str, Any], names: ReportNames) -> api.ProbeEnded:
     return api.ProbeEnded(
         e["worker"], e["status"] == "done", e.get("wait_time") or 0.0, _report(e.get("health_info"), names)
     )
 
 
-_EVENTS: dict[str, Callable[[dict[str, Any], Names], api.Event]] = {
+_EVENTS: dict[str, Callable[[dict[str, Any], ReportNames], api.Event]] = {
     "JOB_IN": _request,
     "ANSWER": _ended,
     "CHANGE": _progress,
@@ -253,18 +253,18 @@
 }
 
 
-def event(e: dict[str, Any], names: Names) -> api.Event | None:
+def decode_event(e: dict[str, Any], names: ReportNames) -> api.Event | None:
     """One event in the module's types; None for a kind that is not known."""
     make = _EVENTS.get(e["m"])
     return None if make is None else make(e, names)
 
 
-def membership(e: dict[str, Any], lists: dict[int, Rows]) -> api.Membership:
+def decode_membership(e: dict[str, Any], lists: dict[int, WorkerEntries]) -> api.Membership:
     kind = _LISTS[e["kind"]]
     return api.Membership(kind, [] if kind is api.ListKind.FAILED else lists[e["slot"]])
 
 
-def batch(line: bytes) -> tuple[float, list[dict[str, Any]]]:
+def decode_batch(line: bytes) -> tuple[float, list[dict[str, Any]]]:
     """The clock and the groups of one line."""
     try:
         data = orjson.loads(line)
@@ -283,7 +283,7 @@
 # ---- actions -------------------------------------------------------------------------------------------
 
 
-def action(a: api.Action) -> dict[str, Any]:
+def encode_action(a: api.Action) -> dict[str, Any]:
     """One action as the wire has it."""
     return _ACTIONS[type(a)](a)
 
@@ -311,7 +311,7 @@
 }
 
 
-def reply(groups: list[tuple[str, list[api.Action]]]) -> bytes:
+def encode_reply(groups: list[tuple[str, list[api.Action]]]) -> bytes:
     """One reply line."""
-    body = [{"i": name, "outbox": [action(a) for a in actions]} for name, actions in groups]
+    body = [{"i": name, "outbox": [encode_action(a) for a in actions]} for name, actions in groups]
     return orjson.dumps({"dispatchers": body}) + b"\n"
--- a/tests/observer_sim.py
+++ b/tests/observer_sim.py
@@ -19,7 +19,7 @@
 from eiderpin.fleet.observer import Observer, Standing
 from eiderpin.fleet.subscription import Subscription
 from eiderpin.net.loop import Connection, Loop
-from eiderpin.parts.observer import Endpoint
+from eiderpin.parts.observer import MemberEndpoint
 from eiderpin.store import observer_server
 from eiderpin.store.names import CURRENT, WORKER_ORDERS
 from eiderpin.store.observer_protocol import Report
@@ -201,7 +201,8 @@
         self.copy = world.subscription("sim", name, token, f"r{len(name) % 2}")
         self.observer = Observer(
             SimLoop(self.process),  # type: ignore[arg-type]
-            Counters(), self.copy, [Endpoint(m, (m, 0), f"r{i % 2}") for i, m in enumerate(world.names)],
+            Counters(), self.copy,
+            [MemberEndpoint(m, (m, 0), f"r{i % 2}") for i, m in enumerate(world.names)],
             self, random.Random(world.rng.random()), lambda text: None, lambda text: None,
         )  # fmt: skip
 
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -68,14 +68,14 @@
                 running_harness(settings=settings(cancels)) as harness,
             ):
                 rows = harness.service.config.workers
-                assert rows is not None and harness.service.listed is not None
-                harness.service.listed.update_workers([])
+                assert rows is not None and harness.service.static_list is not None
+                harness.service.static_list.update_workers([])
                 client = harness.client()
                 client.send(job_request(cls, "a"))
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 harness.advance_clock(40)
                 leave(client, way)
-                harness.service.listed.update_workers(rows)  # in the very turn in which its end is seen
+                harness.service.static_list.update_workers(rows)  # in the very turn in which its end is seen
                 harness.run_until(lambda s=harness: gone(s), "the client's end")
                 harness.advance_clock(1000)
                 self.assertEqual(harness.begun(), [])
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -60,7 +60,7 @@
 
 def drain(harness: Harness) -> None:
     harness.service.drain()
-    harness.advance_clock(services.SETTLE + edges.AWAY_EVERY)
+    harness.advance_clock(services.DRAIN_SETTLE_MS + edges.AWAY_EVERY)
 
 
 def long_idle(harness: Harness) -> None:
@@ -120,7 +120,7 @@
                 if asks_first:
                     client.send(echo)
                 harness.service.stop()
-                harness.advance_clock(services.SETTLE + 50)
+                harness.advance_clock(services.DRAIN_SETTLE_MS + 50)
                 if not asks_first:
                     client.send(echo)
                 harness.release_held()
@@ -209,7 +209,7 @@
 
     def until_over(self, harness: Harness, most: float = 20_000) -> float:
         passed = 0.0
-        while not harness.service.over():
+        while not harness.service.is_over():
             harness.advance_clock(20)
             passed += 20
             self.assertLess(passed, most)
@@ -229,10 +229,10 @@
                     client = harness.client()
                     client.send(job_request("time-lookup", "a"))
                 harness.advance_clock(shutdown.LINGER_MS + 20)
-                self.assertFalse(harness.service.over())
+                self.assertFalse(harness.service.is_over())
                 harness.release_held()
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
-                self.assertFalse(harness.service.over())
+                self.assertFalse(harness.service.is_over())
                 served(harness, client, "a")
                 self.until_over(harness)
 
@@ -241,7 +241,7 @@
             clients = [rested(harness) for _ in range(5)] + [harness.client() for _ in range(5)]
             harness.service.stop()
             passed = 0.0
-            while not harness.service.over():
+            while not harness.service.is_over():
                 harness.advance_clock(20)
                 passed += 20
                 for client in clients:
@@ -262,11 +262,11 @@
             harness.service.stop()
             harness.advance_clock(shutdown.LINGER_MS + 50)
             while harness.service.http_front.listener.accepting:
-                self.assertFalse(harness.service.over())
+                self.assertFalse(harness.service.is_over())
                 harness.advance_clock(20)
             late.send(pack(Kind.SUBMIT_JOB, b"time-lookup", b"g", b"", magic=b"\0REQ"))
             harness.run_until(lambda: harness.core.outstanding, "the job")
-            self.assertFalse(harness.service.over())
+            self.assertFalse(harness.service.is_over())
             harness.advance_clock(40)
             name = harness.run_until(
                 lambda: [w.name for w in harness.workers if "g" in w.begun()], "it to begin"
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -50,7 +50,7 @@
     def test_the_example_names_every_setting(self) -> None:
         text = (ROOT / "deploy/example.toml").read_text()
         source = (ROOT / "eiderpin/wire.py").read_text()
-        of_settings = source[source.index("def settings(") : source.index("# ---- events")]
+        of_settings = source[source.index("def decode_settings(") : source.index("# ---- events")]
         keys = set(re.findall(r'_(?:get|word)\(\w+, "(\w+)"', of_settings))
         self.assertGreater(len(keys), 40)
         self.assertEqual({key for key in keys if not re.search(rf"\b{key}\b", text)}, set())
@@ -163,11 +163,11 @@
         ]  # fmt: skip
         for said, text in cases:
             with self.subTest(said=said), self.assertRaisesRegex(ValueError, text):
-                options.read(said, ["c"])
-        self.assertIsNone(options.read({"directory": ""}, ["c"]))
-        read = options.read({**good, "keep_s": 5}, ["c"])
+                options.read_options(said, ["c"])
+        self.assertIsNone(options.read_options({"directory": ""}, ["c"]))
+        read = options.read_options({**good, "keep_s": 5}, ["c"])
         assert read is not None
-        self.assertEqual((read.keep, read.folder), (5000.0, "/x"))
+        self.assertEqual((read.keep_ms, read.folder), (5000.0, "/x"))
 
     def test_what_is_off_is_not_imported(self) -> None:
         absent = (
--- a/tests/test_may_begin.py
+++ b/tests/test_may_begin.py
@@ -77,7 +77,7 @@
 
     def test_what_happens_while_the_first_connection_comes_up(self) -> None:
         def drain(harness: Harness, passes: float) -> None:
-            listed = harness.service.listed
+            listed = harness.service.static_list
             assert listed is not None
             for name in ("w0", "w1"):
                 entry = harness.core.endpoints[name]
--- a/tests/test_observer_rules.py
+++ b/tests/test_observer_rules.py
@@ -23,8 +23,8 @@
     Updated,
     Violation,
 )
-from eiderpin.parts.observer import Endpoint
-from eiderpin.parts.observer import read as read_follow
+from eiderpin.parts.observer import MemberEndpoint
+from eiderpin.parts.observer import read_options as read_follow_options
 from eiderpin.store import in_force, observer_sessions, presence
 from eiderpin.store.admission import SnapshotAdmission
 from eiderpin.store.document_digest import DocumentDigest
@@ -369,9 +369,11 @@
 
 
 class TestMemberChoice(unittest.TestCase):
-    MEMBERS = [Endpoint(f"m{i}", ("127.0.0.1", 1 + i), f"r{i % 2}") for i in range(4)]
+    MEMBERS = [MemberEndpoint(f"m{i}", ("127.0.0.1", 1 + i), f"r{i % 2}") for i in range(4)]
 
-    def choice(self, name: str, region: str = "", members: list[Endpoint] | None = None) -> MemberChoice:
+    def choice(
+        self, name: str, region: str = "", members: list[MemberEndpoint] | None = None
+    ) -> MemberChoice:
         return MemberChoice(name, region, members or self.MEMBERS, random.Random(1))
 
     def test_observers_spread_evenly_and_move_little(self) -> None:
@@ -582,9 +584,9 @@
     def test_what_follow_takes(self) -> None:
         said = {"follow": {"m0": "10.0.0.1:7200", "m1": {"address": "10.0.0.2:7200", "region": "south"}},
                 "region": "south", "cluster": "c1"}  # fmt: skip
-        options = read_follow(said, "d1")
+        options = read_follow_options(said, "d1")
         self.assertEqual((options.name, options.cluster, options.region), ("d1", "c1", "south"))
-        wanted = (Endpoint("m0", ("10.0.0.1", 7200)), Endpoint("m1", ("10.0.0.2", 7200), "south"))
+        wanted = (MemberEndpoint("m0", ("10.0.0.1", 7200)), MemberEndpoint("m1", ("10.0.0.2", 7200), "south"))
         self.assertEqual(options.endpoints, wanted)
 
     def test_what_it_does_not_take(self) -> None:
@@ -600,7 +602,7 @@
         ]
         for said, why in cases:
             with self.subTest(why), self.assertRaisesRegex(ValueError, why):
-                read_follow(said, "d1")
+                read_follow_options(said, "d1")
 
 
 if __name__ == "__main__":
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -20,7 +20,7 @@
 from benchmarks.scale import bad_input
 from benchmarks.store_rig import Cluster, Process
 from eiderpin.cli.config import install
-from eiderpin.parts.store import address
+from eiderpin.parts.store import parse_address
 from eiderpin.store.client import Failed
 from eiderpin.store.fleet_view import documents, live_observers
 from eiderpin.store.names import OBSERVERS
@@ -121,7 +121,7 @@
 
 def ask_at(where: str, call: str) -> str:
     """One call at a management address."""
-    with socket.create_connection(address(where, "door"), 5.0) as sock:
+    with socket.create_connection(parse_address(where, "door"), 5.0) as sock:
         sock.sendall(call.encode() + b"\n")
         with sock.makefile() as file:
             return file.readline().strip()
@@ -302,7 +302,7 @@
 
     def test_hostile_clients_are_ended_and_nobody_else_notices(self) -> None:
         with fleet("d1", members=1) as it:
-            host, port = address(it.cluster.observer_addresses["m0"], "")
+            host, port = parse_address(it.cluster.observer_addresses["m0"], "")
             process = it.cluster.all["m0"]
             before = counters(process)
             for what, kind in (
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -82,14 +82,14 @@
             "limits": {"sockets": 96},
         }  # fmt: skip
         config = configuration.read_config(orjson.dumps({**said, "management": "127.0.0.1:3"}))
-        configuration.read_environment(config)
+        configuration.apply_environment(config)
         self.assertEqual(config.management, ("127.0.0.1", 3))
         with mock.patch.dict(os.environ, GW_MANAGEMENT="127.0.0.1:4"):
-            configuration.read_environment(config)
+            configuration.apply_environment(config)
         self.assertEqual(config.management, ("127.0.0.1", 4))
         bad = mock.patch.dict(os.environ, GW_MANAGEMENT="nowhere")
         with bad, self.assertRaises(configuration.ConfigError):
-            configuration.read_environment(config)
+            configuration.apply_environment(config)
         # The fewest descriptors that may be named still leave each side some.
         shares = configuration.shares(config)
         self.assertTrue(all(share >= 8 for share in shares), shares)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -19,7 +19,7 @@
     "report": {"names": ["recent_ms", "backlog", "x0", "x1"], "source": "pull"},
     "limits": {**SETTINGS["limits"], "probes": True},
 }
-NAMES = wire.settings(CONF)[0].report_names
+NAMES = wire.decode_settings(CONF)[0].report_names
 WHOLE = api.Report(queued=2.0, free_slots=2.38, free_memory=3.5)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -337,4 +337,4 @@
         with socket.socket() as sock:
             for number in (str(sock.fileno()), "9999", "-1", "three", "9" * 30):
                 with mock.patch.dict(os.environ, GW_FD=number), self.assertRaises(configuration.ConfigError):
-                    configuration.read_environment(config)
+                    configuration.apply_environment(config)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -48,7 +48,7 @@
 
 
 def test_settings_are_read_and_missing_ones_take_defaults() -> None:
-    s, names = wire.settings(CONF)
+    s, names = wire.decode_settings(CONF)
     assert [c.aim_stretch for c in s.classes] == [1.5, 2]
     assert [c.shape for c in s.classes] == [None, "big"]
     assert s.classes[1].scope is api.Scope.ZONE
@@ -72,7 +72,7 @@
 )
 def test_impossible_settings_are_refused_by_name(change: dict[str, Any], key: str) -> None:
     with pytest.raises(api.SettingsError) as error:
-        wire.settings({**CONF, **change})
+        wire.decode_settings({**CONF, **change})
     assert key in str(error.value)
 
 
@@ -103,7 +103,7 @@
     ],
 )  # fmt: skip
 def test_events(sent: dict[str, Any], expected: api.Event | None) -> None:
-    assert wire.event(sent, wire.settings(CONF)[1]) == expected
+    assert wire.decode_event(sent, wire.decode_settings(CONF)[1]) == expected
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
     ],
 )
 def test_actions(action: api.Action, expected: dict[str, Any]) -> None:
-    assert wire.action(action) == expected
+    assert wire.encode_action(action) == expected
 
 
 def test_a_list_number_means_what_it_last_meant_at_that_event() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -367,8 +367,8 @@
     classes = [{"name": "find", "aim": 150.0, "hard_limit": 5000.0}]
     for order, in_order in (("fifo", True), ("backfill", False), ("priority", False), (None, False)):
         conf = {"classes": classes, "family_info": {"queue_order": order}}
-        assert wire.settings(conf)[0].starts_in_order is in_order
-    assert isinstance(Dispatcher(wire.settings({"classes": classes})[0], 1), Dispatcher)
+        assert wire.decode_settings(conf)[0].starts_in_order is in_order
+    assert isinstance(Dispatcher(wire.decode_settings({"classes": classes})[0], 1), Dispatcher)
 
 
 def test_jobs_leave_a_zone_where_starts_come_later_than_elsewhere() -> None:
