--- a/eiderpin/simhost.py
+++ b/eiderpin/simhost.py
@@ -18,8 +18,8 @@
     """
 
     def __init__(self) -> None:
-        self._lists: dict[int, wire.Rows] = {}
-        self._instances: dict[str, tuple[Dispatcher, wire.Names]] = {}
+        self._lists: dict[int, wire.WorkerEntries] = {}
+        self._instances: dict[str, tuple[Dispatcher, wire.ReportNames]] = {}
 
     def line(self, line: bytes) -> bytes:
         """Return the reply to one batch. Raises `WireError` and `SettingsError`."""
@@ -40,7 +40,7 @@
                 raise wire.WireError(text) from error
             if actions:
                 replies.append((name, actions))
-        return wire.reply(replies)
+        return wire.encode_reply(replies)
 
     def _handle_events(self, now: float, name: str, events: list[dict[str, Any]]) -> list[api.Action]:
         """Pass one instance's events to it and return its actions."""
