--- a/eiderpin/simhost.py
+++ b/eiderpin/simhost.py
@@ -23,7 +23,7 @@
 
     def line(self, line: bytes) -> bytes:
         """Return the reply to one batch. Raises `WireError` and `SettingsError`."""
-        now, groups = wire.batch(line)
+        now, groups = wire.decode_batch(line)
         replies: list[tuple[str, list[api.Action]]] = []
         for group in groups:
             try:
@@ -50,9 +50,9 @@
         for data in events:
             kind = data["m"]
             if kind == "SNAPSHOT_ROWS":
-                self._lists[data["slot"]] = wire.rows(data["lines"])
+                self._lists[data["slot"]] = wire.decode_workers(data["lines"])
             elif kind == "PROVISION":
-                settings, names = wire.settings(data.get("conf"))
+                settings, names = wire.decode_settings(data.get("conf"))
                 instance = (Dispatcher(settings, int(data.get("prng") or 0)), names)
                 self._instances[name] = instance
                 pending = []
@@ -62,9 +62,9 @@
                 instance, pending = None, []
             elif instance is not None:
                 if kind == "MEMBERS":
-                    pending.append(wire.membership(data, self._lists))
+                    pending.append(wire.decode_membership(data, self._lists))
                 else:
-                    event = wire.event(data, instance[1])
+                    event = wire.decode_event(data, instance[1])
                     if event is not None:
                         pending.append(event)
         if instance is not None and pending:
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -83,7 +83,7 @@
                 harness.advance_clock(40)
                 leave(client, way)
                 # In the turn of the loop that sees the client leave.
-                harness.service.listed.update_workers(rows)
+                harness.service.static_list.update_workers(rows)
                 harness.run_until(lambda s=harness: all_ended(s), "the client's end")
                 harness.advance_clock(1000)
                 self.assertEqual(harness.begun(), [])
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -65,7 +65,7 @@
 def drain(harness: Harness) -> None:
     """Drain the dispatcher, and pass the first check for idle connections."""
     harness.service.drain()
-    harness.advance_clock(services.SETTLE + edges.DRAIN_INTERVAL_MS)
+    harness.advance_clock(services.DRAIN_SETTLE_MS + edges.DRAIN_INTERVAL_MS)
 
 
 def long_idle(harness: Harness) -> None:
@@ -246,7 +246,7 @@
                 self.assertFalse(harness.service.is_over())
                 harness.release_held()
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
-                self.assertFalse(harness.service.over())
+                self.assertFalse(harness.service.is_over())
                 complete_job(harness, client, "a")
                 self.run_to_exit(harness)
 
