--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -232,7 +232,7 @@
             connection = self._connection(attempt.entry, SURE_IDLE if once else self.trust())
         except ConnectError as error:
             # What we lack ourselves says nothing of the worker; that its address cannot be reached does.
-            self.core.ended(attempt, api.Outcome.NOT_SENT if error.own else api.Outcome.NOT_CONNECTED)
+            self.core.ended(attempt, api.Outcome.NOT_SENT if error.is_local else api.Outcome.NOT_CONNECTED)
         else:
             connection.begin(b"", attempt)
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -160,7 +160,7 @@
                 for _ in range(20):
                     stage.pass_time(10)
                     stage.turn(20, wait=0.0)
-                self.assertLess(faults.calls[call] - before, 200 / loops.RETRY_AFTER * 2 + 10)
+                self.assertLess(faults.calls[call] - before, 200 / loops.MEMORY_RETRY_MS * 2 + 10)
 
 
 class Accepting(unittest.TestCase):
@@ -278,11 +278,11 @@
             listener = stage.service.edge.listener
             address = listener.address
             listener.pause()
-            with mock.patch.object(listener, "_bound", side_effect=OSError(errno.EADDRINUSE, "bind")):
+            with mock.patch.object(listener, "_bind_socket", side_effect=OSError(errno.EADDRINUSE, "bind")):
                 listener.start()
                 stage.pass_time(100)
                 self.assertFalse(listener.on)
-            stage.pass_time(loops.LISTEN_AGAIN)
+            stage.pass_time(loops.LISTEN_RETRY_MS)
             self.assertEqual((listener.on, listener.address), (True, address))
             self.assertIn(b"200 OK", run(stage, ask(stage, "time-lookup")))
 
