--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -1,4 +1,4 @@
-"""Pools of connections to the workers that discovery lists, and what workers tell by call-back."""
+"""The HTTP link to workers: pools of connections, the exchanges on them, and workers' call-backs."""
 
 from __future__ import annotations
 
@@ -18,31 +18,36 @@
 from eiderpin.net import http, reports
 from eiderpin.net.loop import ConnectError, Connection, Loop
 
-IDLE_SHARE = 0.5  # of conn_idle: a connection is retired well before its worker closes it
-SURE_IDLE = 50.0  # ms; a connection that has stood no longer is taken to be up, whatever lies between
-STALE_WITHIN = 100.0  # ms after a write in which a reset is put down to a connection that had gone stale
-FORGIVEN = 10_000.0  # ms in which the trust in idle connections that was lost doubles again
-CALL_LIMIT = 1000.0  # ms for a cancel or a probe
-MOST_EARLY = 256  # call-backs that may wait for a ledger's recovery
-MOST_IDLE = 64  # connections kept to one worker
+KEEP_IDLE_SHARE = 0.5  # of the setting conn_idle: we close idle connections well before the worker does
+# A connection that was idle for no longer is taken to be alive, whatever is between us and the worker.
+SAFE_IDLE_MS = 50.0
+# A reset this soon after the request was written is put down to a connection that had gone stale.
+STALE_RESET_MS = 100.0
+# A stale connection shortens the time for which idle ones are reused; the limit doubles again in this time.
+IDLE_LIMIT_DOUBLING_MS = 10_000.0
+CALL_TIMEOUT_MS = 1000.0  # for the answer to a cancel or a probe
+MAX_DEFERRED_CALLBACKS = 256  # call-backs kept until a ledger is recovered
+MAX_IDLE_PER_WORKER = 64  # idle connections kept to one worker
 
 
-class Life(Enum):
-    """Where a connection to a worker stands. From each but the last it may be closed; nothing leads back from
-    there, and what still comes for a closed one is ignored."""
+class ExchangeState(Enum):
+    """State of a connection to a worker.
 
-    CONNECTING = "connecting"  # an exchange waits for it to come up
-    SENDING = "sending"  # some of the request has not been taken by the kernel
-    AWAITING = "awaiting"  # all of it is out: the worker may have begun
-    RESTING = "resting"  # between exchanges; nothing may come here
+    It may be closed in any state. CLOSED is final: events for a closed connection are ignored.
+    """
+
+    CONNECTING = "connecting"  # an exchange waits for the connection
+    SENDING = "sending"  # part of the request has not been accepted by the kernel
+    AWAITING = "awaiting"  # all of the request is sent: the worker may have begun
+    IDLE = "idle"  # between exchanges; the worker must not send anything
     CLOSED = "closed"
 
 
 class WorkerConnection:
-    """One connection to a worker; it carries one exchange at a time."""
+    """A connection to a worker. It carries one exchange at a time: an attempt, a cancel or a probe."""
 
-    __slots__ = ("workers", "entry", "address", "conn", "reader", "attempt", "payload", "deadline",
-                 "probe_at", "life", "rested_at", "stood", "begun_at")  # fmt: skip
+    __slots__ = ("workers", "entry", "address", "conn", "reader", "attempt", "payload", "timeout",
+                 "probe_at", "state", "idle_since", "idle_ms", "started_at")  # fmt: skip
 
     def __init__(self, workers: HttpWorkers, entry: ServiceEntry, conn: Connection) -> None:
         self.workers, self.entry, self.address, self.conn = workers, entry, entry.address, conn
@@ -50,89 +55,98 @@
         self.attempt: Attempt | None = None
         self.payload = b""
         self.probe_at: float | None = None
-        self.life = Life.CONNECTING
-        self.deadline: Deadline | None = None
-        self.rested_at = self.begun_at = 0.0
-        self.stood = 0.0  # ms for which it stood idle before this exchange
-        conn.on_open, conn.on_data, conn.on_end = self.opened, self.data, self.ended
-        conn.on_writable = self.writable
+        self.state = ExchangeState.CONNECTING
+        self.timeout: Deadline | None = None
+        self.idle_since = self.started_at = 0.0
+        self.idle_ms = 0.0  # for how long it was idle before this exchange
+        conn.on_open, conn.on_data, conn.on_end = self.on_open, self.on_data, self.on_end
+        conn.on_writable = self.on_writable
 
     def begin(self, payload: bytes, attempt: Attempt | None) -> None:
-        """Take one exchange on, a call's request or an attempt; it is written once the connection is up."""
-        self.begun_at = self.workers.loop.clock.now()
-        self.stood = self.begun_at - self.rested_at if self.rested_at else 0.0
+        """Begin an exchange: send `payload`, or the job of `attempt`, as soon as the connection is up."""
+        self.started_at = self.workers.loop.clock.now()
+        self.idle_ms = self.started_at - self.idle_since if self.idle_since else 0.0
         self.payload, self.attempt = payload, attempt
         if attempt is not None:
             attempt.handle = self
         if self.conn.connecting:
-            self.limit(self.workers.core.settings.connect_timeout)
+            self.set_timeout(self.workers.core.settings.connect_timeout)
         else:
-            self.opened()
+            self.on_open()
 
-    def opened(self) -> None:
-        self.drop_deadline()
-        self.life = Life.SENDING
+    def on_open(self) -> None:
+        """Send the request: the connection is up."""
+        self.clear_timeout()
+        self.state = ExchangeState.SENDING
         if self.attempt is None:
-            self.limit(CALL_LIMIT)
-        self.put()
+            self.set_timeout(CALL_TIMEOUT_MS)
+        self.send_request()
 
-    def limit(self, ms: float) -> None:
-        self.drop_deadline()
+    def set_timeout(self, ms: float) -> None:
+        """Fail the exchange unless it is over in `ms`; replaces an earlier timeout."""
+        self.clear_timeout()
         loop = self.workers.loop
-        self.deadline = loop.deadlines.set(loop.clock.now() + ms, self.end)
+        self.timeout = loop.deadlines.set(loop.clock.now() + ms, self.fail)
 
-    def put(self) -> None:
-        """Write the request, unless it may not begin any more: the connection may have come up late."""
+    def send_request(self) -> None:
+        """Write the request, unless its attempt may not begin any more: connecting may have taken long."""
         attempt, core = self.attempt, self.workers.core
         if attempt is not None and not core.may_begin(attempt):
             core.ended(attempt, api.Outcome.NOT_SENT)
-            self.free(True)
+            self.finish(True)
             return
         if attempt is not None:
-            self.payload = self.workers.job(attempt)
-        self.conn.on_flushed = self.flushed
+            self.payload = self.workers.job_request(attempt)
+        self.conn.on_flushed = self.on_flushed
         self.conn.write(self.payload)
 
-    def writable(self) -> None:
-        """The rest of the request may go out: a worker begins at its last byte, so that is not sent any more
-        for clients that have gone meanwhile."""
+    def on_writable(self) -> None:
+        """Withhold the rest of the request if all of its clients have left meanwhile.
+
+        A worker begins a job at the last byte of the request, so this job does not run.
+        """
         attempt, core = self.attempt, self.workers.core
-        if self.life is Life.SENDING and attempt is not None and core.is_deserted(attempt.request):
+        if self.state is ExchangeState.SENDING and attempt is not None and core.is_deserted(attempt.request):
             self.close()
             core.ended(attempt, api.Outcome.NOT_SENT)
 
-    def flushed(self) -> None:
-        if self.life is not Life.SENDING:
+    def on_flushed(self) -> None:
+        """Note that the whole request has been sent."""
+        if self.state is not ExchangeState.SENDING:
             return
-        self.life = Life.AWAITING
+        self.state = ExchangeState.AWAITING
         if self.attempt is not None:
             self.workers.core.written(self.attempt)
 
-    def data(self, data: bytes) -> None:
-        if self.life is Life.RESTING:
-            self.unasked()
+    def on_data(self, data: bytes) -> None:
+        """Handle the responses that received data completes."""
+        if self.state is ExchangeState.IDLE:
+            self.close_unsolicited()
             return
         try:
             messages = self.reader.feed(data)
         except http.BadMessage:
             self.workers.core.counters.add("in.worker_bad")
-            self.end()
+            self.fail()
             return
         for message in messages:
-            self.answered(message)
+            self.handle_response(message)
 
-    def unasked(self) -> None:
-        """It speaks while nothing is asked of it. Whole or not, what follows could pass for the answer to the
-        next request."""
+    def close_unsolicited(self) -> None:
+        """Close the connection: the worker sent something that was not asked for.
+
+        Whether it is complete or not, it could be mistaken for the answer to the next request.
+        """
         self.workers.core.counters.add("in.worker_unasked")
         self.close()
 
-    def answered(self, message: http.Message) -> None:
+    def handle_response(self, message: http.Message) -> None:
+        """Take the response to the current exchange: a probe's report, or an attempt's first answer."""
         core, attempt = self.workers.core, self.attempt
-        if self.life is Life.CLOSED:
+        if self.state is ExchangeState.CLOSED:
             return
-        if self.life is Life.RESTING:
-            self.unasked()  # a second answer, right behind the first
+        if self.state is ExchangeState.IDLE:
+            self.close_unsolicited()  # a second response directly after the first
             return
         if self.probe_at is not None:
             ok = message.status == 200
@@ -143,134 +157,146 @@
             if message.status == 202:
                 attempt.accepted = True
             elif message.status in (503, 504) and message.headers.get("srv-declined") == "1":
-                core.ended(attempt, api.Outcome.REJECTED, report=self.told(message))
+                core.ended(attempt, api.Outcome.REJECTED, report=self.load_report(message))
             else:
                 core.counters.add(f"out.status.{message.status}")
-                core.ended(attempt, api.Outcome.ERROR, report=self.told(message))
-        self.free(message.keep_alive and self.life is Life.AWAITING and self.reader.idle)
+                core.ended(attempt, api.Outcome.ERROR, report=self.load_report(message))
+        self.finish(message.keep_alive and self.state is ExchangeState.AWAITING and self.reader.idle)
 
-    def told(self, message: http.Message) -> api.Report | None:
-        """The load that the worker tells with an answer."""
+    def load_report(self, message: http.Message) -> api.Report | None:
+        """Return the load report in the header of a response, if there is one."""
         text = message.headers.get("srv-load")
         return None if text is None else reports.of_text(text, self.workers.core.settings.report_names)
 
-    def free(self, keep: bool) -> None:
-        """The exchange is over."""
-        self.drop_deadline()
+    def finish(self, keep: bool) -> None:
+        """End the exchange; keep the connection for others if `keep` is set and it is still open."""
+        self.clear_timeout()
         self.attempt, self.probe_at = None, None
         if keep and not self.conn.closed:
-            self.life = Life.RESTING
-            self.workers.rest(self)
+            self.state = ExchangeState.IDLE
+            self.workers.keep_idle(self)
         else:
             self.close()
 
-    def ended(self) -> None:
-        """The worker has ended it: with that the answer is whole, where it told no length."""
-        last = self.reader.at_end() if self.life is Life.AWAITING else None
+    def on_end(self) -> None:
+        """The worker has closed the connection: this completes a response without Content-Length."""
+        last = self.reader.at_end() if self.state is ExchangeState.AWAITING else None
         if last is not None:
-            self.answered(last)
+            self.handle_response(last)
         else:
-            self.end()
+            self.fail()
+
+    def fail(self) -> None:
+        """End the exchange: the connection was refused or lost, closed by the worker, or timed out.
 
-    def end(self) -> None:
-        """The connection was refused, broke or was closed by the worker, or its time is up. Nothing is sent
-        again here: whether it may be is for the decisions to say, by what has gone out."""
-        if self.life is Life.CLOSED:
+        Nothing is sent again here. The decisions say whether to retry, by how much had been sent.
+        """
+        if self.state is ExchangeState.CLOSED:
             return
         attempt, core = self.attempt, self.workers.core
         if attempt is not None:
-            stale = self.stood > 0 and core.clock.now() < self.begun_at + STALE_WITHIN
+            stale = self.idle_ms > 0 and core.clock.now() < self.started_at + STALE_RESET_MS
             if stale:
-                self.workers.went_stale(self.stood)
-            never = self.life in (Life.CONNECTING, Life.SENDING)
-            outcome = api.Outcome.NOT_CONNECTED if never else api.Outcome.RESET
+                self.workers.note_stale(self.idle_ms)
+            never_sent = self.state in (ExchangeState.CONNECTING, ExchangeState.SENDING)
+            outcome = api.Outcome.NOT_CONNECTED if never_sent else api.Outcome.RESET
             core.ended(attempt, outcome, stale=stale)
         elif self.probe_at is not None:
             core.probed(self.entry, False, core.clock.now() - self.probe_at)
         self.close()
 
     def close(self) -> None:
-        """The one way out; what was owed for its exchange has been settled, or is nobody's any more."""
-        if self.life is Life.CLOSED:
+        """Close the connection. The caller has reported the end of its exchange, if that is still wanted."""
+        if self.state is ExchangeState.CLOSED:
             return
-        self.life = Life.CLOSED
-        self.drop_deadline()
+        self.state = ExchangeState.CLOSED
+        self.clear_timeout()
         self.attempt, self.probe_at = None, None
         self.conn.close()
-        self.workers.lost(self)
+        self.workers.forget(self)
 
-    def outlived(self) -> None:
-        """What it carries has ended by a call-back. The answer that is still due may come for a while."""
-        self.limit(CALL_LIMIT)
+    def limit_response_time(self) -> None:
+        """Bound the wait for the response to an attempt that a call-back has already ended."""
+        self.set_timeout(CALL_TIMEOUT_MS)
 
-    def drop_deadline(self) -> None:
-        self.workers.loop.deadlines.drop(self.deadline)
-        self.deadline = None
+    def clear_timeout(self) -> None:
+        """Cancel the timeout of the exchange."""
+        self.workers.loop.deadlines.drop(self.timeout)
+        self.timeout = None
 
 
 class HttpWorkers:
-    """The link to the workers of the platform."""
+    """The link to the platform's HTTP workers: sends attempts, cancels and probes, takes call-backs.
+
+    `host` is sent as the Host header; `most` bounds the number of open connections.
+    """
 
     def __init__(self, loop: Loop, core: Dispatcher, host: str, most: int) -> None:
         self.loop, self.core = loop, core
         self.host = host
-        self.probes_at = b"/_load" if core.settings.reports_in_probes else b"/ping"
+        self.probe_target = b"/_load" if core.settings.reports_in_probes else b"/ping"
         self.most = most
         self.open: set[WorkerConnection] = set()
         self.idle: dict[str, list[WorkerConnection]] = {}
-        self._trust, self._stale_at = math.inf, 0.0
-        self.early: list[tuple[Any, Callable[[int], None]]] | None = None  # that wait for a ledger's recovery
-        self.not_ours: Callable[[dict[str, Any], Callable[[int], None]], None] = _nobody
+        self._idle_limit_ms, self._stale_at = math.inf, 0.0
+        # Call-backs received while a ledger is being recovered, with their replies; None: handled at once.
+        self.early: list[tuple[Any, Callable[[int], None]]] | None = None
+        # Handles a call-back for a request that is not known here.
+        self.not_ours: Callable[[dict[str, Any], Callable[[int], None]], None] = _acknowledge_unknown
 
-    # -- what the core asks
+    # -- the link, as the core uses it
 
     def send(self, attempt: Attempt) -> None:
-        # What lies between may have forgotten a connection that stood idle, and the reset that a write to it
-        # brings would be the end of a job that must not run twice. A new connection costs far less.
-        once = self.core.classes[attempt.request.cls].repeat is not api.Repeat.FREE
+        """Send an attempt to its worker; its end is reported to the core."""
+        # A middlebox may have forgotten an idle connection. The reset that follows a write to it would fail a
+        # job that must not run twice; a new connection costs far less.
+        not_repeatable = self.core.classes[attempt.request.cls].repeat is not api.Repeat.FREE
         try:
-            connection = self._connection(attempt.entry, SURE_IDLE if once else self.trust())
+            connection = self._acquire(attempt.entry, SAFE_IDLE_MS if not_repeatable else self.idle_limit())
         except ConnectError as error:
-            # What we lack ourselves says nothing of the worker; that its address cannot be reached does.
+            # A shortage of this host says nothing about the worker; an address that cannot be reached does.
             self.core.ended(attempt, api.Outcome.NOT_SENT if error.is_local else api.Outcome.NOT_CONNECTED)
         else:
             connection.begin(b"", attempt)
 
-    def job(self, attempt: Attempt) -> bytes:
-        """The request, as it is written now."""
+    def job_request(self, attempt: Attempt) -> bytes:
+        """Return the HTTP request for an attempt, with the time that is left to it now."""
         request = attempt.request
-        left = max(1, int(self.core.time_left(attempt)))
+        left_ms = max(1, int(self.core.time_left(attempt)))
         headers: tuple[str, ...] = (
-            f"Host: {self.host}", f"Req-Id: {request.wire_id}", f"Req-Deadline-Ms: {left}",
+            f"Host: {self.host}", f"Req-Id: {request.wire_id}", f"Req-Deadline-Ms: {left_ms}",
         )  # fmt: skip
         if request.idempotency_key is not None:
             headers += (f"Idempotency-Key: {request.idempotency_key}",)
         return http.request("POST", request.target, headers, request.body)
 
     def cancel(self, attempt: Attempt) -> None:
+        """Ask the worker to drop an attempt, or close the connection that it was not yet accepted on."""
         connection = attempt.handle
         if isinstance(connection, WorkerConnection) and connection.attempt is attempt:
-            # Before the 202 a closed connection is the cancel; what has been written cannot be unsaid.
+            # Before the 202 closing the connection is the cancel; what was written can't be taken back.
             connection.close()
             return
         if connection is None and not attempt.accepted:
-            return  # nothing of it has gone out
+            return  # nothing of it has been sent
         target = b"/jobs/" + attempt.request.wire_id.encode()
         self._call(attempt.entry, http.request("DELETE", target, (f"Host: {self.host}",)), None)
 
     def probe(self, entry: ServiceEntry) -> None:
-        payload = http.request("GET", self.probes_at, (f"Host: {self.host}",))
+        """Ask a worker for its load or health; the core is told the result."""
+        payload = http.request("GET", self.probe_target, (f"Host: {self.host}",))
         if not self._call(entry, payload, self.core.clock.now()):
             self.core.probed(entry, False, 0.0)
 
     def entry_changed(self, entry: ServiceEntry) -> None:
-        """Connections to a process that is gone, or to an address that it has left, are of no use."""
+        """Close idle connections to a worker that is gone or has another address now."""
         gone = entry.listed.state is api.WorkerState.GONE
         for connection in list(self.idle.get(entry.name, ())):
             if gone or connection.address != entry.address:
                 connection.close()
 
     def may_move(self, attempt: Attempt) -> bool:
+        """Return whether the attempt is accepted and its end will come by call-back alone."""
         connection = attempt.handle
         tied = isinstance(connection, WorkerConnection) and connection.attempt is attempt
         return attempt.accepted and not tied
@@ -278,36 +304,44 @@
     # -- connections
 
     def _call(self, entry: ServiceEntry, payload: bytes, probe_at: float | None) -> bool:
+        """Send a cancel, or a probe made at `probe_at`; return False if no connection could be had."""
         try:
-            connection = self._connection(entry, self.trust())
+            connection = self._acquire(entry, self.idle_limit())
         except ConnectError:
             return False
         connection.probe_at = probe_at
         connection.begin(payload, None)
         return True
 
-    def trust(self) -> float:
-        """How long a connection may have stood idle and still be written to."""
-        full = IDLE_SHARE * self.core.settings.conn_idle
-        if math.isinf(self._trust):
+    def idle_limit(self) -> float:
+        """Return for how many ms a connection may have been idle to be used again."""
+        full = KEEP_IDLE_SHARE * self.core.settings.conn_idle
+        if math.isinf(self._idle_limit_ms):
             return full
-        return min(full, self._trust * 2 ** ((self.loop.clock.now() - self._stale_at) / FORGIVEN))
+        return min(
+            full,
+            self._idle_limit_ms * 2 ** ((self.loop.clock.now() - self._stale_at) / IDLE_LIMIT_DOUBLING_MS),
+        )
 
-    def went_stale(self, stood: float) -> None:
+    def note_stale(self, idle_ms: float) -> None:
+        """A connection that had been idle for `idle_ms` was stale: lower the idle limit to half of that."""
         self.core.counters.add("out.stale")
-        self._trust, self._stale_at = max(SURE_IDLE, min(self.trust(), stood / 2)), self.loop.clock.now()
-
-    def _connection(self, entry: ServiceEntry, most_idle: float) -> WorkerConnection:
-        """One that rests, or a new one on its way up. Raises `ConnectError`."""
-        waiting = self.idle.get(entry.name, [])
-        since = self.loop.clock.now() - most_idle
-        while waiting and waiting[-1].rested_at >= since:  # the one that came to rest last is the last
-            connection = waiting.pop()
-            if connection.address == entry.address and _alive(connection.conn.sock):
+        self._idle_limit_ms, self._stale_at = (
+            max(SAFE_IDLE_MS, min(self.idle_limit(), idle_ms / 2)),
+            self.loop.clock.now(),
+        )
+
+    def _acquire(self, entry: ServiceEntry, max_idle_ms: float) -> WorkerConnection:
+        """Return an idle connection, or a new one that is connecting. Raises `ConnectError`."""
+        idle = self.idle.get(entry.name, [])
+        since = self.loop.clock.now() - max_idle_ms
+        while idle and idle[-1].idle_since >= since:  # sorted: the last one became idle last
+            connection = idle.pop()
+            if connection.address == entry.address and _is_usable(connection.conn.sock):
                 return connection
             connection.close()
         if len(self.open) >= self.most:
-            self._retire_one()
+            self._close_one_idle()
         if len(self.open) >= self.most:
             raise ConnectError(errno.EMFILE)
         conn = self.loop.open_connection(entry.address)
@@ -316,111 +350,126 @@
         self.open.add(connection)
         return connection
 
-    def _retire_one(self) -> None:
-        for waiting in self.idle.values():
-            if waiting:
-                waiting[0].close()
+    def _close_one_idle(self) -> None:
+        """Close an idle connection to make room for a new one."""
+        for idle in self.idle.values():
+            if idle:
+                idle[0].close()
                 return
 
-    def rest(self, connection: WorkerConnection) -> None:
-        waiting = self.idle.setdefault(connection.entry.name, [])
-        if connection.address != connection.entry.address or len(waiting) >= MOST_IDLE:
+    def keep_idle(self, connection: WorkerConnection) -> None:
+        """Keep a connection for later exchanges, unless it is surplus or its worker has moved."""
+        idle = self.idle.setdefault(connection.entry.name, [])
+        if connection.address != connection.entry.address or len(idle) >= MAX_IDLE_PER_WORKER:
             connection.close()
             return
-        waiting.append(connection)
-        connection.rested_at = self.loop.clock.now()
-        connection.deadline = self.loop.deadlines.set(connection.rested_at + self.trust(), connection.end)
-
-    def lost(self, connection: WorkerConnection) -> None:
+        idle.append(connection)
+        connection.idle_since = self.loop.clock.now()
+        connection.timeout = self.loop.deadlines.set(
+            connection.idle_since + self.idle_limit(), connection.fail
+        )
+
+    def forget(self, connection: WorkerConnection) -> None:
+        """Drop a connection that has been closed."""
         self.open.discard(connection)
-        waiting = self.idle.get(connection.entry.name, [])
-        if connection in waiting:
-            waiting.remove(connection)
+        idle = self.idle.get(connection.entry.name, [])
+        if connection in idle:
+            idle.remove(connection)
 
     # -- call-backs
 
-    def load_of(self, said: dict[str, Any]) -> api.Report | None:
-        return reports.of_fields(said.get("load"), self.core.settings.report_names)
+    def parse_load(self, callback: dict[str, Any]) -> api.Report | None:
+        """Return the load report in a call-back, if there is one."""
+        return reports.of_fields(callback.get("load"), self.core.settings.report_names)
 
     def news(self, body: bytes, reply: Callable[[int], None]) -> None:
-        """Take one call-back and reply with a status. Repeated and late ones are answered as well."""
+        """Handle one call-back and reply with an HTTP status: 204, or 400 if it is malformed.
+
+        Repeated and late ones are answered as well. The reply is deferred while a ledger is recovered.
+        """
         try:
-            said: Any = orjson.loads(body)
-            if self.keep_early(said, reply):
+            callback: Any = orjson.loads(body)
+            if self.keep_early(callback, reply):
                 return
-            known = self.take_news(said)
+            known = self.take_news(callback)
         except ValueError:
             reply(400)
             return
-        self.count_news(said, known, reply)
+        self.reply_to_callback(callback, known, reply)
 
-    def keep_early(self, said: Any, reply: Callable[[int], None]) -> bool:
-        """Whether it waits for a ledger's recovery."""
-        if self.early is None or len(self.early) >= MOST_EARLY:
+    def keep_early(self, callback: Any, reply: Callable[[int], None]) -> bool:
+        """Defer a call-back while a ledger is being recovered; return whether it was deferred."""
+        if self.early is None or len(self.early) >= MAX_DEFERRED_CALLBACKS:
             return False
-        self.early.append((said, reply))
+        self.early.append((callback, reply))
         return True
 
     def take_early(self) -> None:
-        """The ledger has been recovered: what workers told meanwhile is taken now."""
+        """Handle the call-backs that were deferred while the ledger was recovered."""
         early, self.early = self.early or [], None
-        for said, reply in early:
+        for callback, reply in early:
             try:
-                known = self.take_news(said)
+                known = self.take_news(callback)
             except ValueError:
                 reply(400)
                 continue
-            self.count_news(said, known, reply)
+            self.reply_to_callback(callback, known, reply)
 
-    def count_news(self, said: Any, known: bool, reply: Callable[[int], None]) -> None:
-        state = said["state"]
-        self.core.counters.add(f"in.news.{state}" if state in STATES else "in.news.other")
+    def reply_to_callback(self, callback: Any, known: bool, reply: Callable[[int], None]) -> None:
+        """Count an applied call-back and answer it; one for an unknown request goes to `not_ours`."""
+        state = callback["state"]
+        self.core.counters.add(f"in.news.{state}" if state in CALLBACK_OUTCOMES else "in.news.other")
         if known:
             reply(204)
         else:
-            self.not_ours(said, reply)
-
-    def take_news(self, said: Any) -> bool:
-        """Whether it is of a request that we know. Raises `ValueError` where it makes no sense."""
-        if not isinstance(said, dict) or not all(isinstance(said.get(k), str) for k in ("id", "state")):
-            raise ValueError("a call-back names an id and a state")
-        state, request = said["state"], self.core.request_of(said["id"])
+            self.not_ours(callback, reply)
+
+    def take_news(self, callback: Any) -> bool:
+        """Apply a call-back to its attempt; return whether its request is known here.
+
+        Raises `ValueError` if it is malformed.
+        """
+        if not isinstance(callback, dict) or not all(
+            isinstance(callback.get(k), str) for k in ("id", "state")
+        ):
+            raise ValueError("a call-back needs an id and a state")
+        state, request = callback["state"], self.core.request_of(callback["id"])
         if request is None:
-            keeper, sender = self.core.keeper, str(said.get("from"))
-            return keeper is not None and keeper.late(said["id"], sender, state, _result(said))
-        mine = [s for s in request.attempts if s.entry.name == said.get("from")]
-        attempt = next((s for s in reversed(mine) if not s.ended), None)
+            keeper, sender = self.core.keeper, str(callback.get("from"))
+            return keeper is not None and keeper.late(callback["id"], sender, state, _result_bytes(callback))
+        by_sender = [a for a in request.attempts if a.entry.name == callback.get("from")]
+        attempt = next((a for a in reversed(by_sender) if not a.ended), None)
         if attempt is None:
-            if state == "done" and mine:
-                self.core.late_result(request, _result(said))
+            if state == "done" and by_sender:
+                self.core.late_result(request, _result_bytes(callback))
         elif state == "started":
             self.core.progress(attempt, True)
         elif state == "running":
-            share = said.get("share")
+            share = callback.get("share")
             if isinstance(share, int | float) and 0 <= share <= 1:
                 self.core.progress(attempt, False, float(share))
         elif state == "done":
-            self.ended(attempt, api.Outcome.DONE, said)
-        elif state in STATES:
-            self.ended(attempt, STATES[state], said)
+            self.finish_attempt(attempt, api.Outcome.DONE, callback)
+        elif state in CALLBACK_OUTCOMES:
+            self.finish_attempt(attempt, CALLBACK_OUTCOMES[state], callback)
         return True
 
-    def ended(self, attempt: Attempt, outcome: api.Outcome, said: dict[str, Any]) -> None:
-        """A call-back tells of an attempt's end, perhaps before its connection has brought the 202."""
+    def finish_attempt(self, attempt: Attempt, outcome: api.Outcome, callback: dict[str, Any]) -> None:
+        """End an attempt by a call-back, which may come before the 202 on its connection."""
         connection = attempt.handle
         if isinstance(connection, WorkerConnection) and connection.attempt is attempt:
-            connection.outlived()
-        result = _result(said) if outcome is api.Outcome.DONE else b""
-        self.core.ended(attempt, outcome, result, report=self.load_of(said))
+            connection.limit_response_time()
+        result = _result_bytes(callback) if outcome is api.Outcome.DONE else b""
+        self.core.ended(attempt, outcome, result, report=self.parse_load(callback))
 
 
-def _nobody(said: dict[str, Any], reply: Callable[[int], None]) -> None:
-    """There is no process beside us that may know of it."""
+def _acknowledge_unknown(callback: dict[str, Any], reply: Callable[[int], None]) -> None:
+    """Acknowledge a call-back of an unknown request: there is no peer process that may know it."""
     reply(204)
 
 
-STATES = {
-    "started": api.Outcome.DONE,  # this and the next two are told apart above
+CALLBACK_OUTCOMES = {
+    "started": api.Outcome.DONE,  # this and the next two are handled separately by `take_news`
     "running": api.Outcome.DONE,
     "done": api.Outcome.DONE,
     "failed": api.Outcome.ERROR,
@@ -429,15 +478,16 @@
 }
 
 
-def _result(said: dict[str, Any]) -> bytes:
-    result = said.get("result")
+def _result_bytes(callback: dict[str, Any]) -> bytes:
+    """Return the result in a call-back: text as it is, anything else as JSON."""
+    result = callback.get("result")
     if result is None:
         return b""
     return result.encode() if isinstance(result, str) else orjson.dumps(result)
 
 
-def _alive(sock: socket.socket) -> bool:
-    """Whether an idle connection has neither ended nor said anything unasked."""
+def _is_usable(sock: socket.socket) -> bool:
+    """Whether an idle connection has neither ended nor callback anything unasked."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -44,9 +44,9 @@
     def test_a_call_back_and_an_answer_may_bear_one(self) -> None:
         core = SimpleNamespace(settings=SimpleNamespace(report_names=NAMES))
         workers = cast(Any, SimpleNamespace(core=core))
-        self.assertEqual(HttpWorkers.load_of(workers, {"load": {"x0": 1}}), api.Report(free_slots=1.0))
-        self.assertIsNone(HttpWorkers.load_of(workers, {"load": "x0=1"}))
-        self.assertIsNone(HttpWorkers.load_of(workers, {}))
+        self.assertEqual(HttpWorkers.parse_load(workers, {"load": {"x0": 1}}), api.Report(free_slots=1.0))
+        self.assertIsNone(HttpWorkers.parse_load(workers, {"load": "x0=1"}))
+        self.assertIsNone(HttpWorkers.parse_load(workers, {}))
 
 
 class Probes(unittest.TestCase):
