--- a/eiderpin/net/handover.py
+++ b/eiderpin/net/handover.py
@@ -1,20 +1,21 @@
-"""An old and a new process side by side: a Unix socket between them, one JSON line a message.
-
-The new process connects to its predecessor's socket. What they say, either way but for `serving`:
-
-    {"hello": 1, "ids": [...]}      first of all; the ids of jobs under way
-    {"serving": true, "published": [...]}   the new one accepts clients from now on; the old one stops.
-                                    The second tells its socket's file from any other
-    {"learned": {...}}              what the decisions of the older one have learned; once
-    {"state": {...}}                what I hold: on workers, of descriptors; and my readiness
-    {"adopt": {...}, "ask": 7}      a job, and with this line its client's socket; answered by
-    {"adopted": 7}, {"refused": 7}  the last where it has to stay with the one who sent it
-    {"ledger": true}                I have given the ledger of durable jobs up: it is yours
-    {"waits": {...}, "ask": 7}      a client of one of its jobs, and its socket; answered as above
-    {"news": {...}, "ask": 7}       a worker's call-back of an id that I do not know
-    {"told": 7}                     it has been taken, or nobody here knows that id either
-
-A link that breaks, falls silent or talks nonsense ends; each side then serves as if it were alone.
+"""Handover from an old process to a new one (upgrade without downtime).
+
+The two processes are linked by a Unix socket that carries one JSON object per line. The new process connects
+to the socket of its predecessor. Messages; each is sent in both directions unless noted:
+
+    {"hello": 1, "ids": [...]}      first message: protocol version, and the ids of jobs under way
+    {"serving": true, "published": [...]}   new process only: it accepts clients from now on, and the old
+                                    process stops accepting. `published` identifies the file of its socket
+    {"learned": {...}}              old process only, once: what its decisions have learned
+    {"state": {...}}                the sender's slots in use at workers, its descriptors and its readiness
+    {"adopt": {...}, "ask": 7}      a job, with its client's socket attached; answered by
+    {"adopted": 7}, {"refused": 7}  with `refused` the job stays with the sender
+    {"ledger": true}                the sender has released the ledger of durable jobs to the receiver
+    {"waits": {...}, "ask": 7}      a client of a job in that ledger, with its socket; answered like `adopt`
+    {"news": {...}, "ask": 7}       a worker's call-back for an id that the sender does not know
+    {"told": 7}                     the call-back has been handled, or the id is not known here either
+
+A link is closed when it breaks, times out or carries an invalid message. Each process then goes on alone.
 """
 
 from __future__ import annotations
@@ -39,51 +40,55 @@
 from eiderpin.net.edge import Edge, EdgeConnection
 from eiderpin.net.loop import Connection, Listener, Loop
 
-HELLO_WITHIN = 1000.0  # ms; who is silent longer at first is no process of ours
-TELL_EVERY = 50.0  # ms between looks at what has to be told
-SILENCE = 3000.0  # ms without a word after which the other is taken to be stuck
-BEAT = 500.0  # ms after which the state is told again though nothing has changed
-NEWS_WITHIN = 500.0  # ms in which the other must take a call-back; else its worker is asked to say it again
-MOST_CAME = 16  # descriptors that may have come and wait for their lines
-MOST_LINE = 4 << 20
-MOST_IDS = 20_000
-MOST_STRANGERS = 4  # connections that have not said hello
-LOOKS, LOOK_AGAIN = 4, 50.0  # how often a starting process looks for its predecessor, and ms in between
+HELLO_TIMEOUT_MS = 1000.0  # a peer that sends nothing for so long after connecting is not a dispatcher
+STATE_CHECK_MS = 50.0  # between checks whether the state has changed or jobs can be transferred
+SILENCE_TIMEOUT_MS = 3000.0  # a peer process that sends nothing for so long is taken to be stuck
+STATE_REPEAT_MS = 500.0  # an unchanged state is sent again after this time
+# The peer process must handle a call-back in this time; otherwise the worker is told to send it again.
+CALLBACK_TIMEOUT_MS = 500.0
+MAX_PENDING_DESCRIPTORS = 16  # received descriptors whose messages have not arrived yet
+MAX_LINE_BYTES = 4 << 20
+MAX_IDS = 20_000  # sent in a hello
+MAX_UNIDENTIFIED_LINKS = 4  # links that have not sent a hello
+# A starting process looks for its predecessor so often, at this interval.
+LOOKUPS, LOOKUP_RETRY_MS = 4, 50.0
 
-Reply = Callable[[int], None]
-Identity = tuple[int, int, int]  # device, inode and birth of a file
+Reply = Callable[[int], None]  # answers a call-back with an HTTP status
+FileIdentity = tuple[int, int, int]  # device, inode and modification time (ns) of a file
 
 
 class Link:
-    """One connection to the process beside us."""
+    """A connection to the peer process, the older or the newer one."""
 
-    def __init__(self, handover: Handover, conn: Connection, older: bool) -> None:
+    def __init__(self, handover: Handover, conn: Connection, is_predecessor: bool) -> None:
         self.handover, self.conn, self.loop = handover, conn, handover.loop
-        self.older = older  # the other end is the older process
-        self.greeted = False
-        self.serving = False  # the newer one there accepts clients
-        self.published: Identity | None = None  # the file of the newer one's socket
-        self.readiness = ""
-        self.sockets = 0  # descriptors that it uses
-        self.held: dict[str, tuple[float, float]] = {}
-        self.line = bytearray()
-        self.last_told: dict[str, Any] = {}
-        self.told_at = 0.0
-        self.asked: dict[int, tuple[Reply, Deadline]] = {}
-        self.given: dict[int, tuple[Moved | Waits, socket.socket]] = {}  # not known to have been adopted
-        self.came: deque[int] = deque()  # descriptors that have come, and wait for their line
-        self.limit = self.loop.deadlines.set(self.loop.clock.now() + HELLO_WITHIN, self.end)
-        self.look: Deadline | None = None
-        conn.on_data, conn.on_end, conn.receive = self.data, self.end, self.receive
-        self.put(
-            {"hello": 1, "ids": [f.unique for f in handover.core.requests.all() if not f.ended][:MOST_IDS]}
+        self.is_predecessor = is_predecessor  # the peer is the older process
+        self.hello_received = False
+        self.serving = False  # the peer is the newer process and accepts clients
+        self.published: FileIdentity | None = None  # the socket file of the newer process
+        self.readiness = ""  # of the peer, as load balancers are told
+        self.sockets = 0  # descriptors that the peer uses
+        self.holds: dict[str, tuple[float, float]] = {}  # of the peer, by worker: see `api.Beside`
+        self.buffer = bytearray()
+        self.last_state: dict[str, Any] = {}
+        self.state_sent_at = 0.0
+        self.pending_callbacks: dict[int, tuple[Reply, Deadline]] = {}  # forwarded, by message number
+        # Jobs and clients that were sent and are neither adopted nor refused yet, by message number.
+        self.given: dict[int, tuple[Moved | Waits, socket.socket]] = {}
+        self.received_descriptors: deque[int] = deque()  # whose messages have not been handled yet
+        self.silence_timeout = self.loop.deadlines.set(self.loop.clock.now() + HELLO_TIMEOUT_MS, self.close)
+        self.state_check: Deadline | None = None
+        conn.on_data, conn.on_end, conn.receive = self.on_data, self.close, self.receive
+        self.send(
+            {"hello": 1, "ids": [r.unique for r in handover.core.requests.all() if not r.ended][:MAX_IDS]}
         )
 
-    def put(self, message: dict[str, Any]) -> None:
+    def send(self, message: dict[str, Any]) -> None:
+        """Send a message."""
         self.conn.write(orjson.dumps(message) + b"\n")
 
-    def put_socket(self, message: dict[str, Any], sock: socket.socket) -> bool:
-        """Send a socket with a message; whether it has gone out."""
+    def send_socket(self, message: dict[str, Any], sock: socket.socket) -> bool:
+        """Send a message with a socket attached; return whether it was sent."""
         if self.conn.unsent or self.conn.closed:
             return False
         line = orjson.dumps(message) + b"\n"
@@ -95,373 +100,421 @@
         return True
 
     def receive(self, size: int) -> bytes:
-        data, came, _, _ = socket.recv_fds(self.conn.sock, size, MOST_CAME)
-        self.came.extend(came)
+        """Receive at most `size` bytes, and keep the descriptors that come with them."""
+        data, descriptors, _, _ = socket.recv_fds(self.conn.sock, size, MAX_PENDING_DESCRIPTORS)
+        self.received_descriptors.extend(descriptors)
         return data
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
+        """Handle the messages that received data completes; an invalid one closes the link."""
         deadlines = self.loop.deadlines
-        deadlines.drop(self.limit)
-        self.limit = deadlines.set(self.loop.clock.now() + SILENCE, self.end)
-        self.line += data
-        *lines, rest = self.line.split(b"\n")
-        self.line = rest
+        deadlines.drop(self.silence_timeout)
+        self.silence_timeout = deadlines.set(self.loop.clock.now() + SILENCE_TIMEOUT_MS, self.close)
+        self.buffer += data
+        *lines, rest = self.buffer.split(b"\n")
+        self.buffer = rest
         try:
-            if len(rest) > MOST_LINE:
-                raise ValueError("a line without end")
+            if len(rest) > MAX_LINE_BYTES:
+                raise ValueError("line is too long")
             for line in lines:
                 if not self.conn.closed:
-                    self.heard(orjson.loads(line))
-            if len(self.came) > MOST_CAME:
-                raise ValueError("descriptors without a line")
+                    self.handle_message(orjson.loads(line))
+            if len(self.received_descriptors) > MAX_PENDING_DESCRIPTORS:
+                raise ValueError("too many descriptors without a message")
         except (ValueError, TypeError, KeyError, AttributeError, IndexError, OSError):
             self.handover.core.counters.add("in.link_bad")
-            self.end()
-
-    def heard(self, said: dict[str, Any]) -> None:
-        if not self.greeted:
-            if said["hello"] != 1:
-                raise ValueError("another version of this protocol")
-            ids = {str(i) for i in said["ids"]}
-            self.greeted = True
-            self.handover.greeted(self, ids)
-            self.tell()
-        elif "state" in said:
-            state = said["state"]
+            self.close()
+
+    def handle_message(self, message: dict[str, Any]) -> None:
+        """Handle one message of the protocol above.
+
+        An invalid one raises `ValueError`, or what its conversion raises.
+        """
+        if not self.hello_received:
+            if message["hello"] != 1:
+                raise ValueError("unknown protocol version")
+            ids = {str(i) for i in message["ids"]}
+            self.hello_received = True
+            self.handover.on_hello(self, ids)
+            self.send_state()
+        elif "state" in message:
+            state = message["state"]
             holds = {str(w): (float(a), float(b)) for w, (a, b) in state["holds"].items()}
             if not all(a >= 0 and b >= 0 for a, b in holds.values()):
-                raise ValueError("what is held is no less than nothing")
+                raise ValueError("a negative number of held slots")
             self.sockets, self.readiness = int(state["sockets"]), str(state["readiness"])
-            self.held = holds
+            self.holds = holds
             self.handover.core.tell(api.Beside(holds))
-            self.handover.changed()
-        elif "learned" in said:
-            self.handover.core.tell_learned(carried.check(said["learned"]))
-        elif "serving" in said:
+            self.handover.on_change()
+        elif "learned" in message:
+            self.handover.core.tell_learned(carried.check(message["learned"]))
+        elif "serving" in message:
             self.serving = True
-            published = said.get("published")
-            self.published = _identity_from(published) if published is not None else None
-            self.put({"learned": carried.of(self.handover.core.module)})
-            self.handover.changed()
-        elif "news" in said:
-            ask = int(said["ask"])
-            self.handover.news_heard(self, said["news"], lambda status: self.put({"told": ask}))
-        elif "adopt" in said:
-            sock = socket.socket(fileno=self.came.popleft())
-            done = self.handover.take(said["adopt"], sock)
-            self.put({"adopted" if done else "refused": int(said["ask"])})
-        elif "ledger" in said:
+            published = message.get("published")
+            self.published = _parse_identity(published) if published is not None else None
+            self.send({"learned": carried.of(self.handover.core.module)})
+            self.handover.on_change()
+        elif "news" in message:
+            number = int(message["ask"])
+            self.handover.on_forwarded_callback(
+                self, message["news"], lambda status: self.send({"told": number})
+            )
+        elif "adopt" in message:
+            sock = socket.socket(fileno=self.received_descriptors.popleft())
+            done = self.handover.adopt_job(message["adopt"], sock)
+            self.send({"adopted" if done else "refused": int(message["ask"])})
+        elif "ledger" in message:
             if self.handover.ledger is not None:
                 self.handover.ledger.offered()
-        elif "waits" in said:
-            sock = socket.socket(fileno=self.came.popleft())
-            done = self.handover.take_waiting(said["waits"], sock)
-            self.put({"adopted" if done else "refused": int(said["ask"])})
-        elif "adopted" in said:
-            self.given.pop(int(said["adopted"]))[1].close()
-        elif "refused" in said:
-            self.take_back(int(said["refused"]))
-        elif "told" in said:
-            reply, limit = self.asked.pop(int(said["told"]), (None, None))
-            self.loop.deadlines.drop(limit)
+        elif "waits" in message:
+            sock = socket.socket(fileno=self.received_descriptors.popleft())
+            done = self.handover.adopt_waiting_client(message["waits"], sock)
+            self.send({"adopted" if done else "refused": int(message["ask"])})
+        elif "adopted" in message:
+            self.given.pop(int(message["adopted"]))[1].close()
+        elif "refused" in message:
+            self.take_back(int(message["refused"]))
+        elif "told" in message:
+            reply, timeout = self.pending_callbacks.pop(int(message["told"]), (None, None))
+            self.loop.deadlines.drop(timeout)
             if reply is not None:
                 reply(204)
         else:
-            raise ValueError("no such message")
+            raise ValueError("unknown message")
 
     def take_back(self, number: int) -> None:
+        """Continue here with a job or client that the peer refused or that it had not adopted."""
         moved, sock = self.given.pop(number)
         if isinstance(moved, Waits):
-            self.handover.take_waiting(asdict(moved), sock)
+            self.handover.adopt_waiting_client(asdict(moved), sock)
             return
-        self.handover.stay.add(moved.wire_id)
-        self.handover.take(asdict(moved), sock)
-
-    def ask(self, number: int, news: dict[str, Any], reply: Reply) -> None:
-        """Pass a call-back on; it is answered once it has been taken."""
-
-        def too_late() -> None:
-            self.asked.pop(number, None)
-            reply(503)  # its worker will say it again
-
-        limit = self.loop.deadlines.set(self.loop.clock.now() + NEWS_WITHIN, too_late)
-        self.asked[number] = (reply, limit)
-        self.put({"news": news, "ask": number})
-
-    def tell(self) -> None:
-        """Tell what we hold, where it has changed or was told long ago."""
-        now, state = self.loop.clock.now(), self.handover.state()
-        if state != self.last_told or now > self.told_at + BEAT:
-            self.last_told, self.told_at = state, now
-            self.put({"state": state})
+        self.handover.kept_ids.add(moved.wire_id)
+        self.handover.adopt_job(asdict(moved), sock)
+
+    def send_callback(self, number: int, callback: dict[str, Any], reply: Reply) -> None:
+        """Forward a call-back, and reply to its worker when the peer has handled it: 204, else 503."""
+
+        def on_timeout() -> None:
+            self.pending_callbacks.pop(number, None)
+            reply(503)  # the worker will send it again
+
+        timeout = self.loop.deadlines.set(self.loop.clock.now() + CALLBACK_TIMEOUT_MS, on_timeout)
+        self.pending_callbacks[number] = (reply, timeout)
+        self.send({"news": callback, "ask": number})
+
+    def send_state(self) -> None:
+        """Send our state if it has changed or was sent long ago, and transfer what can go to a successor."""
+        now, state = self.loop.clock.now(), self.handover.get_state()
+        if state != self.last_state or now > self.state_sent_at + STATE_REPEAT_MS:
+            self.last_state, self.state_sent_at = state, now
+            self.send({"state": state})
         if self is self.handover.newer:
-            self.handover.give()
-        self.look = self.loop.deadlines.set(now + TELL_EVERY, self.tell)
+            self.handover.transfer_jobs()
+        self.state_check = self.loop.deadlines.set(now + STATE_CHECK_MS, self.send_state)
 
-    def end(self) -> None:
-        self.loop.deadlines.drop(self.limit)
-        self.loop.deadlines.drop(self.look)
+    def close(self) -> None:
+        """Close the link: take unadopted jobs back and reply 503 to call-backs in flight."""
+        self.loop.deadlines.drop(self.silence_timeout)
+        self.loop.deadlines.drop(self.state_check)
         self.conn.close()
         for number in list(self.given):
             self.take_back(number)
-        while self.came:
-            os.close(self.came.popleft())
-        asked, self.asked = self.asked, {}
-        for reply, limit in asked.values():
-            self.loop.deadlines.drop(limit)
+        while self.received_descriptors:
+            os.close(self.received_descriptors.popleft())
+        pending, self.pending_callbacks = self.pending_callbacks, {}
+        for reply, timeout in pending.values():
+            self.loop.deadlines.drop(timeout)
             reply(503)
-        self.handover.ended(self)
+        self.handover.on_link_closed(self)
 
 
-class LedgerSide(Protocol):
-    """The ledger of durable jobs, as it changes hands."""
+class LedgerOwner(Protocol):
+    """The side of the ledger of durable jobs that the handover uses."""
 
     def offered(self) -> None:
-        """Its owner has given it up to us, or has gone."""
+        """The previous owner has released the ledger to us, or has gone."""
         ...
 
     def give(self) -> list[tuple[Waits, EdgeConnection]] | None:
-        """Give it up; None: not now."""
+        """Release the ledger. Returns the clients that wait for its jobs; None if it can't go yet."""
         ...
 
-    def wait_for(self, request: Request, edge: EdgeConnection) -> None: ...
+    def wait_for(self, request: Request, client: EdgeConnection) -> None:
+        """Let a client wait here for a job of the ledger."""
+        ...
 
-    def keep_early(self, news: dict[str, Any], reply: Reply) -> bool:
-        """Whether this call-back waits until its jobs have been taken up."""
+    def keep_early(self, callback: dict[str, Any], reply: Reply) -> bool:
+        """Defer a call-back until the ledger's jobs are recovered; return whether it was deferred."""
         ...
 
     @property
     def given_up(self) -> bool:
-        """Whether we had it, and the process beside us has it or is about to."""
+        """Whether we have released the ledger to the peer process."""
         ...
 
 
 class Handover:
-    """Knows the process that came before us and the one that comes after."""
+    """Keeps the links to the older and the newer process, and transfers jobs to the newer one.
+
+    Args:
+        path: where the socket of the process that serves is found.
+        apply_callback: applies a call-back; returns whether its request is known here.
+        get_state: the state that the peer process is told.
+        on_change: called when something about the peer processes has changed.
+        may_transfer: whether jobs may be transferred to the successor now.
+    """
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, edge: Edge, path: str, taken: Callable[[dict[str, Any]], bool],
-        state: Callable[[], dict[str, Any]], changed: Callable[[], None], gives: Callable[[], bool],
+        self, loop: Loop, core: Dispatcher, http_front: Edge, path: str,
+        apply_callback: Callable[[dict[str, Any]], bool], get_state: Callable[[], dict[str, Any]],
+        on_change: Callable[[], None], may_transfer: Callable[[], bool],
     ) -> None:  # fmt: skip
-        self.loop, self.core, self.edge, self.path = loop, core, edge, path
-        self.gives = gives  # whether our successor is to have our jobs
-        self.stay: set[str] = set()  # jobs that could not go
-        self.taken = taken  # whether a call-back is of an id that we know
-        self.state, self.changed = state, changed
+        self.loop, self.core, self.http_front, self.path = loop, core, http_front, path
+        self.may_transfer = may_transfer
+        self.kept_ids: set[str] = set()  # wire ids of jobs that were not adopted and stay here
+        self.apply_callback = apply_callback
+        self.get_state, self.on_change = get_state, on_change
         self.older: Link | None = None
         self.newer: Link | None = None
-        self.strangers: list[Link] = []
-        self.asks = 0
-        self.ledger: LedgerSide | None = None  # where durable jobs are kept
-        self.unsent: list[tuple[Waits, EdgeConnection]] = []  # whose sockets had no room on the link yet
+        self.unidentified_links: list[Link] = []
+        self.last_number = 0  # of a message that is answered by its number
+        self.ledger: LedgerOwner | None = None  # None: there are no durable jobs
+        # Clients of the released ledger whose sockets are still to be sent to the successor.
+        self.unsent_clients: list[tuple[Waits, EdgeConnection]] = []
         self.listener: Listener | None = None
-        self.published: Identity | None = None  # the file of our own socket
-        self.looks_left = LOOKS
-        self.again: Deadline | None = None  # when a predecessor is looked for once more
-        self.find()
-
-    def find(self) -> None:
-        """Look for our predecessor. A file behind which nobody answers may be of one that was killed, or of a
-        dying one whose place another is about to take: that other is worth a few looks."""
+        self.published: FileIdentity | None = None  # our own socket file
+        self.lookups_left = LOOKUPS
+        self.again: Deadline | None = None  # of the next lookup of a predecessor
+        self.find_predecessor()
+
+    def find_predecessor(self) -> None:
+        """Connect to our predecessor, if there is one.
+
+        If its socket file exists but nobody answers, the owner may have been killed, or it is exiting and
+        another process is about to publish its socket there. So the lookup is repeated a few times.
+        """
         self.again = None
-        conn = self.loop.connect(_short(self.path))
+        conn = self.loop.connect(_short_socket_path(self.path))
         if conn is not None:
-            self.older = Link(self, conn, older=True)
-        elif _identity(self.path) is not None:
-            self.find_again()
-
-    def find_again(self) -> None:
-        self.looks_left -= 1
-        if self.looks_left > 0:
-            self.again = self.loop.deadlines.set(self.loop.clock.now() + LOOK_AGAIN, self.find)
+            self.older = Link(self, conn, is_predecessor=True)
+        elif _file_identity(self.path) is not None:
+            self.schedule_lookup()
+
+    def schedule_lookup(self) -> None:
+        """Look for a predecessor again later, unless that was done often enough."""
+        self.lookups_left -= 1
+        if self.lookups_left > 0:
+            self.again = self.loop.deadlines.set(
+                self.loop.clock.now() + LOOKUP_RETRY_MS, self.find_predecessor
+            )
 
     @property
     def handed_over(self) -> bool:
-        """A newer process takes the clients."""
+        """Whether a newer process accepts the clients now."""
         return self.newer is not None and self.newer.serving
 
     def serve(self) -> None:
-        """We accept clients: whoever comes after us finds us, and our predecessor may go."""
+        """We accept clients from now on: publish our socket, and tell our predecessor to stop accepting."""
         self.publish()
         if self.older is not None:
-            self.older.put({"state": self.state()})  # our readiness is passed on from now on
-            self.older.put({"serving": True, "published": self.published})
+            self.older.send({"state": self.get_state()})  # it reports our readiness as its own from now on
+            self.older.send({"serving": True, "published": self.published})
 
     def publish(self) -> None:
-        """Put our socket where the next process looks for it; by a rename, so that there always is one."""
+        """Put our socket where the next process looks for it.
+
+        The file is renamed into place, so that there is a socket at any time. If that fails we still serve,
+        but the next process won't find us.
+        """
         own = f"{self.path}.{os.getpid()}"
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(own)  # of a killed process that had our number
-            sock.bind(_short(own))
-            os.chmod(own, 0o600)  # the folder may be others' too
+                os.unlink(own)  # left by a killed process that had our process id
+            sock.bind(_short_socket_path(own))
+            os.chmod(own, 0o600)  # other users may have access to the directory
             sock.listen(8)
-            self.published = _identity(own)
+            self.published = _file_identity(own)
             os.rename(own, self.path)
         except OSError:
             sock.close()
-            self.core.counters.add("out.link_unpublished")  # we serve, but the next process will not find us
+            self.core.counters.add("out.link_unpublished")
             return
         if self.listener is not None:
             self.listener.close()
-        self.listener = Listener(self.loop, sock, self.met)
+        self.listener = Listener(self.loop, sock, self.on_connection)
 
-    def met(self, conn: Connection) -> None:
-        if len(self.strangers) >= MOST_STRANGERS:
+    def on_connection(self, conn: Connection) -> None:
+        """Accept a link; whether it comes from a newer process shows in its hello."""
+        if len(self.unidentified_links) >= MAX_UNIDENTIFIED_LINKS:
             conn.close()
             return
-        self.strangers.append(Link(self, conn, older=False))
+        self.unidentified_links.append(Link(self, conn, is_predecessor=False))
 
-    def greeted(self, link: Link, ids: set[str]) -> None:
-        if link in self.strangers:
-            self.strangers.remove(link)
+    def on_hello(self, link: Link, ids: set[str]) -> None:
+        """Take the peer's hello with the ids of its jobs; only one newer process is accepted."""
+        if link in self.unidentified_links:
+            self.unidentified_links.remove(link)
             if self.newer is not None:
-                link.end()
+                link.close()
                 return
             self.newer = link
         self.core.ids_beside |= ids
-        self.changed()
+        self.on_change()
 
-    def ended(self, link: Link) -> None:
-        if link in self.strangers:
-            self.strangers.remove(link)
+    def on_link_closed(self, link: Link) -> None:
+        """Go on without the process at the other end of a closed link."""
+        if link in self.unidentified_links:
+            self.unidentified_links.remove(link)
             return
         if link is self.older:
             self.older = None
-            if not link.greeted and self.listener is None:
-                self.find_again()  # it was ending, and never spoke to us
+            if not link.hello_received and self.listener is None:
+                self.schedule_lookup()  # it was exiting and sent no hello
         elif link is self.newer:
             self.newer = None
-            unsent, self.unsent = self.unsent, []
-            for waits, edge in unsent:
-                if self.ledger is not None and not edge.conn.closed:
-                    self.ledger.wait_for(asked_by(self.core, waits), edge)
-            # Whether it still answers there says nothing: one that ends may close its listener last. What
-            # counts is whose file stands there. A third process's stays, for that one has the clients.
-            if link.serving and (link.published is None or _identity(self.path) in (None, link.published)):
+            unsent, self.unsent_clients = self.unsent_clients, []
+            for waits, client in unsent:
+                if self.ledger is not None and not client.conn.closed:
+                    self.ledger.wait_for(asked_by(self.core, waits), client)
+            # Publish our socket again, if the file there is still that of the successor. Whether somebody
+            # answers there doesn't matter: an exiting process may close its listener last. The file of a
+            # third process stays, because that process has the clients.
+            if link.serving and (
+                link.published is None or _file_identity(self.path) in (None, link.published)
+            ):
                 self.publish()
         else:
             return
         if self.older is None and self.newer is None:
             self.core.ids_beside.clear()
         self.core.tell(api.Beside(gone=True))
-        self.changed()
+        self.on_change()
 
-    def give(self) -> None:
-        """Hand our successor the jobs that can go to it."""
-        if not self.handed_over or not self.gives() or self.newer is None:
+    def transfer_jobs(self) -> None:
+        """Transfer the jobs that can go to our successor, with their clients' sockets."""
+        if not self.handed_over or not self.may_transfer() or self.newer is None:
             return
         for request in self.core.requests.all():
-            edge = self.edge.movable(request)
-            if edge is None or request.wire_id in self.stay:
+            client = self.http_front.movable(request)
+            if client is None or request.wire_id in self.kept_ids:
                 continue
             moved = hand_out(self.core, request)
             if moved is None:
                 continue
-            edge.hold(None)
-            sock, self.asks = edge.conn.detach(), self.asks + 1
-            if not self.newer.put_socket({"adopt": asdict(moved), "ask": self.asks}, sock):
-                self.take(asdict(moved), sock)  # there is no room on the link: next time
+            client.hold(None)
+            sock, self.last_number = client.conn.detach(), self.last_number + 1
+            if not self.newer.send_socket({"adopt": asdict(moved), "ask": self.last_number}, sock):
+                self.adopt_job(asdict(moved), sock)  # the link is busy: try again next time
                 return
-            self.newer.given[self.asks] = (moved, sock)
-        self.give_ledger()
+            self.newer.given[self.last_number] = (moved, sock)
+        self.transfer_ledger()
 
-    def give_ledger(self) -> None:
-        """Hand it over once its jobs can go on there; then their clients, as the link has room."""
+    def transfer_ledger(self) -> None:
+        """Release the ledger to our successor once that is possible; then send the clients of its jobs."""
         assert self.newer is not None
         if self.ledger is not None and not self.ledger.given_up:
             waiting = self.ledger.give()
             if waiting is None:
                 return
-            self.newer.put({"ledger": True})
-            self.unsent += waiting
-        while self.unsent:
-            waits, edge = self.unsent[0]
-            if edge.conn.closed:
-                self.unsent.pop(0)
+            self.newer.send({"ledger": True})
+            self.unsent_clients += waiting
+        while self.unsent_clients:
+            waits, client = self.unsent_clients[0]
+            if client.conn.closed:
+                self.unsent_clients.pop(0)
                 continue
-            self.asks += 1
-            if not self.newer.put_socket({"waits": asdict(waits), "ask": self.asks}, edge.conn.sock):
-                return  # next time
-            edge.hold(None)
-            self.newer.given[self.asks] = (waits, edge.conn.detach())
-            self.unsent.pop(0)
-
-    def take_waiting(self, said: dict[str, Any], sock: socket.socket) -> bool:
-        """Take in a client of a durable job from the other, or our own again."""
-        edge = self.edge.adopt(sock)
+            self.last_number += 1
+            if not self.newer.send_socket(
+                {"waits": asdict(waits), "ask": self.last_number}, client.conn.sock
+            ):
+                return  # the link is busy: try again next time
+            client.hold(None)
+            self.newer.given[self.last_number] = (waits, client.conn.detach())
+            self.unsent_clients.pop(0)
+
+    def adopt_waiting_client(self, fields: dict[str, Any], sock: socket.socket) -> bool:
+        """Adopt a client of a durable job from the peer process, or take our own back."""
+        client = self.http_front.adopt(sock)
         try:
             if self.ledger is None:
-                raise ValueError("no durable jobs here")
-            self.ledger.wait_for(asked_by(self.core, Waits(**said)), edge)
+                raise ValueError("no ledger of durable jobs here")
+            self.ledger.wait_for(asked_by(self.core, Waits(**fields)), client)
         except (ValueError, TypeError, AttributeError):
-            edge.conn.close()
+            client.conn.close()
             return False
         return True
 
-    def take(self, said: dict[str, Any], sock: socket.socket) -> bool:
-        """Take in a job that the other hands us, or our own again."""
-        edge = self.edge.adopt(sock)
+    def adopt_job(self, fields: dict[str, Any], sock: socket.socket) -> bool:
+        """Adopt a job from the peer process, or take our own back; return whether that was possible."""
+        client = self.http_front.adopt(sock)
         try:
-            request = adopt(self.core, Moved(**said), edge)
+            request = adopt(self.core, Moved(**fields), client)
         except (ValueError, TypeError, AttributeError):
-            edge.conn.close()  # our descriptor alone: the other holds its own
+            client.conn.close()  # only our descriptor: the peer process still has its own
             return False
-        edge.hold(request)
-        self.edge.may_hold(edge)
+        client.hold(request)
+        self.http_front.may_hold(client)
         return True
 
-    def pass_on(self, news: dict[str, Any], reply: Reply) -> None:
-        """A call-back of an id that we do not know: it may be the other's. Always answered."""
-        links = [link for link in (self.older, self.newer) if link is not None and link.greeted]
-        self._pass(links, news, reply)
+    def pass_on(self, callback: dict[str, Any], reply: Reply) -> None:
+        """Forward a call-back for an id that we do not know: a peer process may. It is always answered."""
+        links = [link for link in (self.older, self.newer) if link is not None and link.hello_received]
+        self._forward(links, callback, reply)
 
-    def news_heard(self, link: Link, news: dict[str, Any], reply: Reply) -> None:
-        """The other passes a call-back on to us: if it is not ours, to whoever is beyond us."""
-        beyond = self.newer if link.older else self.older
-        if self.ledger is not None and self.ledger.keep_early(news, reply):
+    def on_forwarded_callback(self, link: Link, callback: dict[str, Any], reply: Reply) -> None:
+        """Handle a call-back that a peer process forwarded, or forward it to the peer on our other side."""
+        beyond = self.newer if link.is_predecessor else self.older
+        if self.ledger is not None and self.ledger.keep_early(callback, reply):
+            return
+        if (
+            not link.is_predecessor
+            and self.ledger is not None
+            and self.ledger.given_up
+            and not self.apply_callback(callback)
+        ):
+            # It may belong to the ledger that is on its way there. Without a reply the sender's timeout
+            # makes the worker send it again.
             return
-        if not link.older and self.ledger is not None and self.ledger.given_up and not self.taken(news):
-            return  # it may be of the ledger that is on its way there: its worker is to say it again
-        if self.taken(news) or beyond is None or not beyond.greeted:
+        if self.apply_callback(callback) or beyond is None or not beyond.hello_received:
             reply(204)
         else:
-            self._pass([beyond], news, reply)
+            self._forward([beyond], callback, reply)
 
-    def _pass(self, links: list[Link], news: dict[str, Any], reply: Reply) -> None:
+    def _forward(self, links: list[Link], callback: dict[str, Any], reply: Reply) -> None:
+        """Forward a call-back to all these links, and reply with the worst of their statuses."""
         if not links:
             reply(204)
             return
-        left, worst = len(links), 204
+        pending, worst_status = len(links), 204
 
-        def one(status: int) -> None:
-            nonlocal left, worst
-            left, worst = left - 1, max(worst, status)
-            if not left:
-                reply(worst)
+        def on_reply(status: int) -> None:
+            nonlocal pending, worst_status
+            pending, worst_status = pending - 1, max(worst_status, status)
+            if not pending:
+                reply(worst_status)
 
         self.core.counters.add("out.news_passed_on")
         for link in links:
-            self.asks += 1
-            link.ask(self.asks, news, one)
+            self.last_number += 1
+            link.send_callback(self.last_number, callback, on_reply)
 
 
-def _short(path: str) -> str:
-    """The same path, short enough for a socket's name."""
+def _short_socket_path(path: str) -> str:
+    """Return an equivalent path that is short enough for the address of a Unix socket."""
     if len(os.fsencode(path)) < 100:
         return path
-    folder, name = os.path.split(path)
-    return f"/proc/self/fd/{_opened(folder)}/{name}"
+    directory, name = os.path.split(path)
+    return f"/proc/self/fd/{_open_directory(directory)}/{name}"
 
 
 @functools.cache
-def _opened(folder: str) -> int:
-    return os.open(folder, os.O_PATH)
+def _open_directory(directory: str) -> int:
+    return os.open(directory, os.O_PATH)
 
 
-def _identity(path: str) -> Identity | None:
-    """What tells this file from any that takes its name later; None where there is none."""
+def _file_identity(path: str) -> FileIdentity | None:
+    """Return what identifies this file among others of the same name; None if there is none."""
     try:
         found = os.lstat(path)
     except OSError:
@@ -469,6 +522,6 @@
     return found.st_dev, found.st_ino, found.st_mtime_ns
 
 
-def _identity_from(said: Any) -> Identity:
-    device, inode, born = (int(x) for x in said)
-    return device, inode, born
+def _parse_identity(fields: Any) -> FileIdentity:
+    device, inode, modified_ns = (int(x) for x in fields)
+    return device, inode, modified_ns
