--- a/eiderpin/net/__init__.py
+++ b/eiderpin/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the loop, the fronts, the worker pools and discovery."""
+"""Networking: the event loop, the listeners for clients, the links to workers, and discovery."""
--- a/eiderpin/net/discovery.py
+++ b/eiderpin/net/discovery.py
@@ -1,6 +1,7 @@
-"""The watch on discovery's list.
+"""The client of the discovery service: fetches the list of workers and watches it for changes.
 
-An event tells when calls begin to fail, and when the list is known again; `list_age` how old it is.
+A log event reports when calls begin to fail and when the list is up to date again; `list_age` says how old
+the list is.
 """
 
 from __future__ import annotations
@@ -20,90 +21,103 @@
 
 logger = logging.getLogger("eiderpin")
 
-# Whatever discovery has to tell counts as told 6 s after it had it and could be reached, heard or not. What
-# these add up to must stay below that: a call that falls silent as it begins (WAIT + SILENCE), then one that
-# answers at once. Where the decisions say when to ask again, they count from when a call began (`ListWatch`).
-WAIT = 2000  # ms that a watch waits for news
-SILENCE = 700.0  # ms past that after which we ask again, on a new connection
-PAUSE = 50.0  # ms before asking again after a failure; a watch must be renewed within 200 ms
-OLDER_PAUSE = 250.0  # ms before asking again where it tells what lies before what it told already ...
-OLDER_FOR = 4000.0  # ... until it has told nothing else for so long: it has begun anew, and counts from there
-MOST_LIST = 1 << 20  # bytes; lists come indented, and grow with the fleet
-
-STATES = {
+# A change of the list has to be known here within 6 s of when discovery had it and could be reached. The
+# worst case must stay below that: a call that gets no answer from its beginning on (WATCH_WAIT_MS +
+# SILENCE_TIMEOUT_MS), then one that is answered immediately. Where the decisions say when to call again, they
+# count from the beginning of the failed call (`ListWatch`).
+WATCH_WAIT_MS = 2000  # discovery answers a watch after this time if nothing has changed
+SILENCE_TIMEOUT_MS = 700.0  # a call without an answer so long after that is repeated on a new connection
+RETRY_MS = 50.0  # before the next call after a failure; a watch must be renewed within 200 ms
+# An answer with an older generation than we have is rejected, and the call is repeated after this time ...
+OUTDATED_RETRY_MS = 250.0
+# ... until discovery has given only such answers for this long: then it was restarted and counts anew.
+OUTDATED_REJECT_MS = 4000.0
+MAX_LIST_BYTES = 1 << 20  # of one answer; lists may be indented, and grow with the fleet
+
+LIFECYCLE_STATES = {
     "Ready": api.WorkerState.IN_SERVICE,
     "Terminating": api.WorkerState.DRAINING,
     "Gone": api.WorkerState.GONE,
 }
 
 
-class BadList(ValueError):
-    """What came is no list of workers."""
+class ListError(ValueError):
+    """A document is not a valid list of workers."""
 
 
 def address(text: Any) -> tuple[str, int]:
+    """Return (host, port) of "host:port". Raises `ListError`."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadList(f"{text!r} is no address")
+        raise ListError(f"{text!r} is not an address")
     return host, int(port)
 
 
-Entries = list[tuple[api.WorkerEntry, object]]  # workers and their addresses
+Entries = list[tuple[api.WorkerEntry, object]]  # workers with their addresses
 
 
-def read_list(said: Any) -> tuple[int, bool, Entries]:
-    """Generation, whether it is the whole list, and its entries, with starts by the wall clock."""
-    if not isinstance(said, dict) or not isinstance(said.get("instances"), list):
-        raise BadList("a list needs instances")
+def read_list(document: Any) -> tuple[int, bool, Entries]:
+    """Parse a list as discovery sends it. Raises `ListError`, or a conversion's `ValueError` or `TypeError`.
+
+    Returns its generation, whether it is complete (or else holds changes only), and its entries, with the
+    start times of workers by the wall clock.
+    """
+    if not isinstance(document, dict) or not isinstance(document.get("instances"), list):
+        raise ListError("the list has no `instances`")
     entries: Entries = []
-    for e in said["instances"]:
-        if not isinstance(e, dict) or not isinstance(e.get("instanceId"), str):
-            raise BadList("an instance needs an instanceId")
-        if e.get("lifecycle") not in STATES:
-            raise BadList(f"lifecycle {e.get('lifecycle')!r} is not known")
+    for instance in document["instances"]:
+        if not isinstance(instance, dict) or not isinstance(instance.get("instanceId"), str):
+            raise ListError("an instance has no `instanceId`")
+        if instance.get("lifecycle") not in LIFECYCLE_STATES:
+            raise ListError(f"lifecycle {instance.get('lifecycle')!r} is not known")
         entry = api.WorkerEntry(
-            e["instanceId"],
-            str(e.get("zone") or ""),
-            str(e.get("machineType") or ""),
-            int(e.get("cell") or 0),
-            STATES[e["lifecycle"]],
-            float(e.get("weight") or 1.0),
-            float(e.get("startedAtMs") or 0) or None,
+            instance["instanceId"],
+            str(instance.get("zone") or ""),
+            str(instance.get("machineType") or ""),
+            int(instance.get("cell") or 0),
+            LIFECYCLE_STATES[instance["lifecycle"]],
+            float(instance.get("weight") or 1.0),
+            float(instance.get("startedAtMs") or 0) or None,
         )
-        entries.append((entry, address(e.get("hostPort"))))
-    generation = said.get("generation")
-    return (generation if isinstance(generation, int) else 0), bool(said.get("reset")), entries
+        entries.append((entry, address(instance.get("hostPort"))))
+    generation = document.get("generation")
+    return (generation if isinstance(generation, int) else 0), bool(document.get("reset")), entries
 
 
 class Discovery:
-    """Asks for the list, then watches it, for as long as the program runs.
-
-    Where the list must be asked for (`discovery` is "on_request", WIRE "KEEP_INFORMED"), one service of fixed
-    capacity answers all dispatchers. There a watch begins when the decisions say so, at the start and after
-    each failure, which they are told of; and it begins from the generation that is known, so that only what
-    has changed is asked for. Many dispatchers that asked again at once, for the whole list, would keep that
-    service so busy that it answers none of them.
+    """Fetches the list, then watches it for changes, as long as the program runs.
+
+    If the setting `discovery` is "on_request" (`on_request`, KEEP_INFORMED in the protocol), one service of
+    fixed capacity answers all dispatchers. Then the decisions say when a watch begins: at the start and after
+    each failure, which is reported to them. It begins from the known generation, so that only the changes
+    are fetched. Many dispatchers that fetched the whole list again at the same time would overload the
+    service so much that it answered none of them.
+
+    Args:
+        link: reaches the workers of the list.
+        server_address: (host, port) of discovery or of its agent on this machine.
+        known: the list that the previous process stored, if there is one.
     """
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, link: WorkerLink, where: tuple[str, int], known: Any
+        self, loop: Loop, core: Dispatcher, link: WorkerLink, server_address: tuple[str, int], known: Any
     ) -> None:
-        self.loop, self.core, self.link, self.where = loop, core, link, where
+        self.loop, self.core, self.link, self.server_address = loop, core, link, server_address
         self.wall = WallClock(core.clock)
-        # By worker: its start as it was told, and on our clock. Told again, it is not translated anew.
-        self.starts: dict[str, tuple[float, float]] = {}
-        self.generation: int | None = None
+        # By worker: its start time as listed (wall clock) and on our clock. It is converted once only.
+        self.start_times: dict[str, tuple[float, float]] = {}
+        self.generation: int | None = None  # from which changes are asked for; None: fetch the whole list
         self.conn: Connection | None = None
         self.reader = http.ResponseReader()
-        self.limit: Deadline | None = None
-        self.asked = False  # a call has begun
-        self.told = False  # discovery has answered us
-        self.sure = False  # it has answered since the last failure
+        self.timer: Deadline | None = None  # timeout of the call, or time of the next one
+        self.has_called = False  # a call has begun since the start
+        self.told = False  # discovery has answered since the start
+        self.verified = False  # discovery has answered since the last failure
         self.began_at = loop.clock.now()
-        self.answered_at: float | None = None  # when it last told what there is
-        self.failures = 0  # calls in a row that failed
-        self.newest: int | None = None  # the latest generation that it told, and since when only older ones
-        self.older_since: float | None = None
+        self.answered_at: float | None = None  # when the list was last known to be up to date
+        self.failures = 0  # consecutive failed calls
+        self.newest_generation: int | None = None  # the latest one received
+        self.outdated_since: float | None = None  # since when only older generations are received
         self.on_request = core.settings.must_ask
         if self.on_request:
             core.source = self
@@ -111,32 +125,35 @@
             generation, _, entries = read_list(known)
             core.list_told(link, api.ListKind.STORED, self.on_our_clock(entries), by_discovery=True)
             if self.on_request:
-                self.generation = self.newest = generation
+                self.generation = self.newest_generation = generation
         if not known or not self.on_request:
-            self.ask()
+            self.call()
 
-    def move(self, where: tuple[str, int]) -> None:
-        """Watch at another address from now on. Its generations are its own, so the whole list is asked for;
-        what the old one told holds until then."""
-        if where == self.where:
+    def move(self, server_address: tuple[str, int]) -> None:
+        """Watch at another address from now on.
+
+        Generations of another server are not comparable, so the whole list is fetched; until it is received
+        the present list stays in use.
+        """
+        if server_address == self.server_address:
             return
-        self.where, self.generation = where, None
-        self.newest = self.older_since = None
-        self.sure = False
-        self.loop.deadlines.drop(self.limit)
+        self.server_address, self.generation = server_address, None
+        self.newest_generation = self.outdated_since = None
+        self.verified = False
+        self.loop.deadlines.drop(self.timer)
         if self.conn is not None:
             self.conn.close()
         self.conn = None
-        self.ask()
+        self.call()
 
     @property
     def list_age(self) -> float:
-        """ms since discovery last told what there is; since the process began, where it never did."""
+        """ms since the list was last known to be up to date, or since the start if it never was."""
         last = self.began_at if self.answered_at is None else self.answered_at
         return self.loop.clock.now() - last
 
     def note_failure(self, reason: str) -> None:
-        """Count a call that failed; the first one in a row is an event."""
+        """Count a failed call; the first one in a row is logged."""
         self.core.counters.add(f"in.discovery_{reason}")
         self.failures += 1
         if self.failures == 1:
@@ -144,7 +161,7 @@
             logger.warning("discovery does not tell the list", extra=fields)
 
     def note_answer(self, generation: int) -> None:
-        """The list is known to be up to date: an event after calls that failed."""
+        """Note that the list is up to date; this is logged after failed calls."""
         if self.failures:
             fields = {"generation": generation, "failed_calls": self.failures,
                       "list_age_ms": round(self.list_age)}  # fmt: skip
@@ -152,132 +169,142 @@
         self.answered_at, self.failures = self.loop.clock.now(), 0
 
     def watch(self) -> None:
-        """The decisions want a watch to begin now; one that stands, or is being asked for, goes on."""
+        """Begin a watch now, as the decisions want; a call that is in progress goes on."""
         if self.conn is None:
-            self.ask()
+            self.call()
 
-    def ask(self) -> None:
+    def call(self) -> None:
+        """Send the next call: a watch if the list is up to date, else one that is answered immediately."""
         self.wall.look()
         target = b"/catalog/members"
-        wait = 0.0
+        wait_ms = 0.0
         if self.generation is not None:
-            # A call that need not wait shows soonest whether there is anybody, and whether a stored list
-            # still holds. Asked for, each call costs the service: there the second one is a watch.
-            watches = self.sure or (self.on_request and self.asked)
-            wait = float(WAIT) if watches else 0.0
-            target += b"?after=%d&wait_ms=%d" % (self.generation, wait)
+            # A call that does not wait shows soonest whether discovery answers and whether a stored list is
+            # still valid. On request each call costs the service capacity: there the second one is a watch.
+            is_watch = self.verified or (self.on_request and self.has_called)
+            wait_ms = float(WATCH_WAIT_MS) if is_watch else 0.0
+            target += b"?after=%d&wait_ms=%d" % (self.generation, wait_ms)
         if self.conn is None:
-            self.conn = self.loop.connect(self.where)
+            self.conn = self.loop.connect(self.server_address)
             if self.conn is None:
                 self.note_failure("not_connected")
-                self.failed()
+                self.handle_failure()
                 return
-            self.reader = http.ResponseReader(MOST_LIST)
-            self.conn.on_data, self.conn.on_end = self.data, self.ended
-        self.asked = True
-        patience = (WAIT if self.on_request else wait) + SILENCE  # a busy service takes its time for any call
-        self.limit = self.loop.deadlines.set(self.loop.clock.now() + patience, self.silent)
-        host = f"Host: {self.where[0]}:{self.where[1]}"
+            self.reader = http.ResponseReader(MAX_LIST_BYTES)
+            self.conn.on_data, self.conn.on_end = self.on_data, self.on_end
+        self.has_called = True
+        # A busy service on request may take long for any call.
+        timeout_ms = (WATCH_WAIT_MS if self.on_request else wait_ms) + SILENCE_TIMEOUT_MS
+        self.timer = self.loop.deadlines.set(self.loop.clock.now() + timeout_ms, self.on_timeout)
+        host = f"Host: {self.server_address[0]}:{self.server_address[1]}"
         self.conn.write(http.request("GET", target, (host,)))
 
-    def silent(self) -> None:
+    def on_timeout(self) -> None:
+        """The call was not answered in time."""
         self.note_failure("silent")
-        self.failed()
+        self.handle_failure()
 
-    def ended(self) -> None:
-        """It has closed, or the connection broke: after the last byte of an answer without a length, or
-        before."""
+    def on_end(self) -> None:
+        """The connection was closed or lost; this completes an answer without Content-Length."""
         last = self.reader.at_end()
         if last is not None:
-            self.take([last])
+            self.handle_answers([last])
             return
         self.note_failure("closed")
-        self.failed()
+        self.handle_failure()
 
-    def failed(self, pause: float = PAUSE) -> None:
-        """The agent is silent, has closed, has said no or talks nonsense: ask again, on a new connection."""
-        self.sure = False
-        self.loop.deadlines.drop(self.limit)
+    def handle_failure(self, retry_ms: float = RETRY_MS) -> None:
+        """Call again after a failure, on a new connection; on request the decisions say when."""
+        self.verified = False
+        self.loop.deadlines.drop(self.timer)
         if self.conn is not None:
             self.conn.close()
         self.conn = None
         if self.on_request:
             self.core.list_told(self.link, api.ListKind.FAILED, (), by_discovery=True)
             return
-        self.limit = self.loop.deadlines.set(self.loop.clock.now() + pause, self.ask)
+        self.timer = self.loop.deadlines.set(self.loop.clock.now() + retry_ms, self.call)
 
-    def data(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
+        """Handle the answers that received data completes."""
         try:
             messages = self.reader.feed(data)
         except http.BadMessage:
-            self.bad()
+            self.reject_answer()
             return
-        self.take(messages)
+        self.handle_answers(messages)
 
-    def bad(self) -> None:
-        """What came is no answer, or no list: the whole list is asked for next."""
+    def reject_answer(self) -> None:
+        """The answer was not valid HTTP, JSON or no list: fetch the whole list next."""
         self.note_failure("bad")
         self.generation = None
-        self.failed()
+        self.handle_failure()
 
-    def take(self, messages: list[http.Message]) -> None:
+    def handle_answers(self, messages: list[http.Message]) -> None:
+        """Handle answers in order, until one of them ends their connection."""
         conn = self.conn
         try:
             for message in messages:
-                if self.conn is conn:  # else what came before it has ended this connection
-                    self.answered(message)
-        except (ValueError, TypeError):  # no JSON, or no list
-            self.bad()
+                if self.conn is conn:  # else an earlier answer has closed it
+                    self.handle_answer(message)
+        except (ValueError, TypeError):  # not JSON, or not a list
+            self.reject_answer()
 
-    def answered(self, message: http.Message) -> None:
+    def handle_answer(self, message: http.Message) -> None:
+        """Apply one answer and call again. Raises `ValueError` or `TypeError` if it is not a list."""
         if message.status != 200:
             if message.status < 500:
-                self.generation = None  # it cannot make sense of ours; one that is too busy could
+                # It may not accept our generation (5xx means overload): fetch the whole list.
+                self.generation = None
             self.note_failure("refused")
-            self.failed()
+            self.handle_failure()
             return
         generation, whole, entries = read_list(orjson.loads(message.body))
-        if self.is_older(generation):
+        if self.is_outdated(generation):
             self.note_failure("older")
-            self.failed(OLDER_PAUSE)
+            self.handle_failure(OUTDATED_RETRY_MS)
             return
-        if generation < (self.newest or 0) and not whole:
-            self.generation = None  # it has begun anew, and what has changed since is not all that there is
-            self.failed()
+        if generation < (self.newest_generation or 0) and not whole:
+            # Discovery was restarted and counts from a lower generation: its changes alone are not enough.
+            self.generation = None
+            self.handle_failure()
             return
         self.core.counters.add("in.lists")
         self.note_answer(generation)
-        self.generation = self.newest = generation
-        self.older_since = None
-        self.told = self.sure = True
-        if whole or entries or self.on_request:  # there an empty answer tells that the watch stands
+        self.generation = self.newest_generation = generation
+        self.outdated_since = None
+        self.told = self.verified = True
+        if whole or entries or self.on_request:  # on request an empty answer shows that the watch is active
             kind = api.ListKind.COMPLETE if whole else api.ListKind.CHANGES
             self.core.list_told(self.link, kind, self.on_our_clock(entries), by_discovery=True)
-        self.loop.deadlines.drop(self.limit)
+        self.loop.deadlines.drop(self.timer)
         if not message.keep_alive and self.conn is not None:
             self.conn.close()
             self.conn = None
-        self.ask()
+        self.call()
 
     def on_our_clock(self, entries: Entries) -> Entries:
-        """The same entries, with the times of their workers' starts on the dispatcher's clock."""
+        """Convert the workers' start times in these entries to the dispatcher's clock; returns them."""
         for entry, _ in entries:
             if entry.born is None or entry.state is api.WorkerState.GONE:
-                self.starts.pop(entry.name, None)
+                self.start_times.pop(entry.name, None)
                 continue
-            told, start = self.starts.get(entry.name, (0.0, 0.0))
-            if told != entry.born:
-                told, start = entry.born, self.wall.steady(entry.born)
-                self.starts[entry.name] = (told, start)
+            listed, start = self.start_times.get(entry.name, (0.0, 0.0))
+            if listed != entry.born:
+                listed, start = entry.born, self.wall.steady(entry.born)
+                self.start_times[entry.name] = (listed, start)
             entry.born = start
         return entries
 
-    def is_older(self, generation: int) -> bool:
-        """Whether this lies before what it told already, and is not to be believed yet: by it a worker that
-        has been told to drain would be in service again."""
-        if self.newest is None or generation >= self.newest:
+    def is_outdated(self, generation: int) -> bool:
+        """Return whether an answer of this generation is older than our list and must not be applied.
+
+        Applied, it could put a draining worker back in service. Older generations are accepted only when
+        discovery has sent nothing else for OUTDATED_REJECT_MS.
+        """
+        if self.newest_generation is None or generation >= self.newest_generation:
             return False
         now = self.loop.clock.now()
-        if self.older_since is None:
-            self.older_since = now
-        return now - self.older_since < OLDER_FOR
+        if self.outdated_since is None:
+            self.outdated_since = now
+        return now - self.outdated_since < OUTDATED_REJECT_MS
--- a/eiderpin/net/reports.py
+++ b/eiderpin/net/reports.py
@@ -1,4 +1,4 @@
-"""Load reports as workers write them: an object of JSON, or `name=value,name=value` in a header."""
+"""Parser of workers' load reports: a JSON object, or `name=value,name=value` in a header or body."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from eiderpin import interface as api
 
-MOST = 1e9  # a figure beyond it is no load
+MAX_VALUE = 1e9  # larger values are invalid
 
 
-def of_fields(fields: Any, names: Mapping[str, str]) -> api.Report | None:
-    """The fields that we know, by the names that the settings give them; None where there is none.
+def parse_fields(fields: Any, names: Mapping[str, str]) -> api.Report | None:
+    """Return the report in these fields; `names` maps their names to the fields of `api.Report`.
 
-    A field that is missing or is no number of a load is left out, as an unknown one is: reports are noisy
-    and come from many versions of a worker, and the rest of one is still good.
+    Returns None if no known field has a valid value. Unknown and invalid fields are ignored: reports are
+    noisy and come from many versions of a worker, and the other fields of one are still useful.
     """
     if not isinstance(fields, Mapping):
         return None
@@ -26,14 +26,14 @@
         name = names.get(key) if isinstance(key, str) else None
         if name is None or isinstance(value, bool) or not isinstance(value, int | float):
             continue
-        if math.isfinite(value) and abs(value) <= MOST:
+        if math.isfinite(value) and abs(value) <= MAX_VALUE:
             setattr(report, name, max(0.0, float(value)))
             known = True
     return report if known else None
 
 
-def of_text(text: str, names: Mapping[str, str]) -> api.Report | None:
-    """A header's: `inflight=7,queue=2,util=0.61`."""
+def parse_text(text: str, names: Mapping[str, str]) -> api.Report | None:
+    """Parse the form of the header: `inflight=7,queue=2,util=0.61`."""
     fields: dict[str, float] = {}
     for part in text.split(","):
         name, _, value = part.partition("=")
@@ -41,15 +41,15 @@
             fields[name.strip()] = float(value)
         except ValueError:
             continue
-    return of_fields(fields, names)
+    return parse_fields(fields, names)
 
 
-def of_body(body: bytes, names: Mapping[str, str]) -> api.Report | None:
-    """That of an answer to `GET /_load`."""
+def parse_body(body: bytes, names: Mapping[str, str]) -> api.Report | None:
+    """Parse the body of an answer to `GET /_load`: JSON, with the fields maybe in `load`, or text."""
     try:
-        said = orjson.loads(body)
+        document = orjson.loads(body)
     except ValueError:
-        return of_text(body.decode("latin-1"), names)
-    if isinstance(said, Mapping) and isinstance(said.get("load"), Mapping):
-        said = said["load"]
-    return of_fields(said, names)
+        return parse_text(body.decode("latin-1"), names)
+    if isinstance(document, Mapping) and isinstance(document.get("load"), Mapping):
+        document = document["load"]
+    return parse_fields(document, names)
--- a/eiderpin/net/static_list.py
+++ b/eiderpin/net/static_list.py
@@ -1,4 +1,4 @@
-"""Workers that the configuration itself lists: a source beside discovery, or instead of it."""
+"""Workers that the configuration lists, in addition to those of discovery or instead of them."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 from eiderpin.net.discovery import address
 from eiderpin.net.workers import HttpWorkers
 
-Listed = list[tuple[api.WorkerEntry, object]]
+Listed = list[tuple[api.WorkerEntry, object]]  # workers with their addresses
 
 STATES = {"in_service": api.WorkerState.IN_SERVICE, "draining": api.WorkerState.DRAINING}
 KEYS = ("name", "address", "state", "zone", "machine_type", "slots", "classes")
 
 
-def read_workers(said: Any, classes: list[str]) -> Listed:
-    """The `workers` of a configuration. Raises `ValueError` with the row, the key and what is expected."""
-    if not isinstance(said, list):
+def read_workers(value: Any, classes: list[str]) -> Listed:
+    """Parse the key `workers` of a configuration; `classes` are the names of the configured classes.
+
+    Raises `ValueError` with the row, the key and what is expected there.
+    """
+    if not isinstance(value, list):
         raise ValueError("workers: a list is needed")
     rows: Listed = []
     seen: set[str] = set()
-    for number, row in enumerate(said):
+    for number, row in enumerate(value):
         where = f"workers[{number}]"
         if not isinstance(row, dict):
             raise ValueError(f"{where}: an object is needed")
@@ -30,50 +33,60 @@
             if key not in KEYS:
                 raise ValueError(f"{where}.{key}: there is no such key; there are {', '.join(KEYS)}")
         name, state = row.get("name"), row.get("state", "in_service")
-        slots, able = row.get("slots"), row.get("classes")
+        slots, row_classes = row.get("slots"), row.get("classes")
         if not isinstance(name, str) or not name or name in seen:
             raise ValueError(f"{where}.name: {name!r}; a name of its own is expected")
         if state not in STATES:
             raise ValueError(f"{where}.state: {state!r}; one of {', '.join(STATES)} is expected")
         if slots is not None and (isinstance(slots, bool) or not isinstance(slots, int | float) or slots < 1):
             raise ValueError(f"{where}.slots: {slots!r}; a number from 1 on is expected")
-        if able is not None and not (isinstance(able, list) and able and all(c in classes for c in able)):
-            raise ValueError(f"{where}.classes: {able!r}; some of {', '.join(classes)} are expected")
+        if row_classes is not None and not (
+            isinstance(row_classes, list) and row_classes and all(c in classes for c in row_classes)
+        ):
+            raise ValueError(f"{where}.classes: {row_classes!r}; some of {', '.join(classes)} are expected")
         try:
-            at = address(row.get("address"))
+            host_port = address(row.get("address"))
         except ValueError as error:
             raise ValueError(f"{where}.address: {error}; host:port is expected") from None
         seen.add(name)
         entry = api.WorkerEntry(
             name, str(row.get("zone") or ""), str(row.get("machine_type") or ""), -1, STATES[state],
-            classes=frozenset(able) if able is not None else None, slots=float(slots) if slots else None,
+            classes=frozenset(row_classes) if row_classes is not None else None,
+            slots=float(slots) if slots else None,
         )  # fmt: skip
-        rows.append((entry, at))
+        rows.append((entry, host_port))
     return rows
 
 
 class StaticList:
-    """A link of its own, so that discovery's complete lists do not speak for these workers; it reaches
-    them as those of discovery are reached."""
+    """The link to the workers of the configuration, which reaches them through the link of discovery.
+
+    It is a separate link because a complete list of discovery replaces all workers of its own link.
+    """
 
     def __init__(self, core: Dispatcher, workers: HttpWorkers) -> None:
         self.core, self.workers = core, workers
 
     def tell(self, rows: Listed) -> None:
-        """These are all. One that is no longer listed is gone: it gets nothing new, as with discovery."""
+        """Replace the workers. One that is no longer listed is gone and gets nothing new."""
         self.core.list_told(self, api.ListKind.COMPLETE, rows)
 
     def send(self, attempt: Attempt) -> None:
+        """Send an attempt to its worker."""
         self.workers.send(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
+        """Ask the worker to drop an attempt."""
         self.workers.cancel(attempt)
 
     def probe(self, entry: ServiceEntry) -> None:
+        """Ask a worker for its load or health."""
         self.workers.probe(entry)
 
     def entry_changed(self, entry: ServiceEntry) -> None:
+        """Note that the state or address of a worker has changed."""
         self.workers.entry_changed(entry)
 
     def may_move(self, attempt: Attempt) -> bool:
+        """Return whether the attempt can go to the peer process."""
         return self.workers.may_move(attempt)
--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -151,7 +151,7 @@
         if self.probe_at is not None:
             ok = message.status == 200
             names = core.settings.report_names
-            report = reports.of_body(message.body, names) if ok and message.body else None
+            report = reports.parse_body(message.body, names) if ok and message.body else None
             core.probed(self.entry, ok, core.clock.now() - self.probe_at, report)
         elif attempt is not None:
             if message.status == 202:
@@ -166,7 +166,7 @@
     def load_report(self, message: http.Message) -> api.Report | None:
         """Return the load report in the header of a response, if there is one."""
         text = message.headers.get("srv-load")
-        return None if text is None else reports.of_text(text, self.workers.core.settings.report_names)
+        return None if text is None else reports.parse_text(text, self.workers.core.settings.report_names)
 
     def finish(self, keep: bool) -> None:
         """End the exchange; keep the connection for others if `keep` is set and it is still open."""
@@ -380,7 +380,7 @@
 
     def parse_load(self, callback: dict[str, Any]) -> api.Report | None:
         """Return the load report in a call-back, if there is one."""
-        return reports.of_fields(callback.get("load"), self.core.settings.report_names)
+        return reports.parse_fields(callback.get("load"), self.core.settings.report_names)
 
     def news(self, body: bytes, reply: Callable[[int], None]) -> None:
         """Handle one call-back and reply with an HTTP status: 204, or 400 if it is malformed.
--- a/tests/test_discovery_ends.py
+++ b/tests/test_discovery_ends.py
@@ -174,7 +174,7 @@
                 agent.fails = fails
                 run(stage, agent, ms=3000)
                 self.assertGreaterEqual(stage.counted(f"in.discovery_{names[name]}"), 1)
-                self.assertLess(agent.calls - before, 3000 / discovery.PAUSE + 2)
+                self.assertLess(agent.calls - before, 3000 / discovery.RETRY_MS + 2)
                 self.assertEqual(len(stage.core.entries), known)
                 self.assertLessEqual(len(stage.loop.connections), 1)
 
@@ -215,7 +215,7 @@
             agent.list(stage.workers[0], "Ready")
             self.assertLess(agent.generation, newest)
             agent.fails = lambda peer: peer.say(http(200, body=agent.answer("/catalog/members") or b""))
-            run(stage, agent, ms=discovery.OLDER_FOR - 600)
+            run(stage, agent, ms=discovery.OUTDATED_REJECT_MS - 600)
             self.assertTrue(drains(stage))
             agent.fails, agent.generation = None, newest
             agent.list(stage.workers[1], "Terminating")
--- a/tests/test_fleet_discovery.py
+++ b/tests/test_fleet_discovery.py
@@ -17,7 +17,7 @@
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Deadlines
 from eiderpin.core.requests import Request
-from eiderpin.net.discovery import WAIT, Discovery
+from eiderpin.net.discovery import WATCH_WAIT_MS, Discovery
 from eiderpin.net.loop import Loop
 from tests.test_core import Client, HandClock, Link
 
@@ -152,7 +152,7 @@
     def test_two_hundred_ask_no_more_in_an_outage_and_after_it_than_twice_what_they_do_at_rest(self) -> None:
         """At rest each renews its watch every 2 s: a hundred calls a second in the mean."""
         world = World(200, rate=60.0)
-        at_rest = 200 / (WAIT / 1000)
+        at_rest = 200 / (WATCH_WAIT_MS / 1000)
         world.run(10_000)
         self.assertEqual(world.know_the_new_worker(), 200)
         for silent in (False, True, False):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -29,8 +29,8 @@
             b"recent_ms=0,backlog=2,x0=2.380,x1=3.5", b"x1=3.5, x0=2.38 ,queue=2,recent_ms=1e2",
             b'{"backlog":2,"x0":2.38,"x1":3.5,"recent_ms":7}', b'{"load":{"backlog":2,"x0":2.38,"x1":3.5}}',
         ):  # fmt: skip
-            self.assertEqual(reports.of_body(body, NAMES), WHOLE, body)
-        self.assertEqual(reports.of_text("inflight=7,queue=2,util=0.61", NAMES), api.Report(7.0, 2.0))
+            self.assertEqual(reports.parse_body(body, NAMES), WHOLE, body)
+        self.assertEqual(reports.parse_text("inflight=7,queue=2,util=0.61", NAMES), api.Report(7.0, 2.0))
 
     def test_what_makes_no_sense_is_left_out_and_the_rest_kept(self) -> None:
         for body, report in (
@@ -39,7 +39,7 @@
             (b"x0=2,x0,=,x1=two,backlog", api.Report(free_slots=2.0)),
             (b"x0=-0.4", api.Report(free_slots=0.0)),  # noise below nothing
         ):  # fmt: skip
-            self.assertEqual(reports.of_body(body, NAMES), report, body)
+            self.assertEqual(reports.parse_body(body, NAMES), report, body)
 
     def test_a_call_back_and_an_answer_may_bear_one(self) -> None:
         core = SimpleNamespace(settings=SimpleNamespace(report_names=NAMES))
