--- a/tests/test_discovery_ends.py
+++ b/tests/test_discovery_ends.py
@@ -51,7 +51,7 @@
         return json.dumps(said, indent=self.indent).encode()
 
     def serve(self) -> None:
-        for number, peer in enumerate(self.look()):
+        for number, peer in enumerate(self.accept_pending()):
             calls = peer.requests()
             for call in calls[self.answered.get(number, 0) :]:
                 if peer.ended:
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -54,15 +54,15 @@
         for load in (b"recent_ms=0,backlog=0,x0=4,x1=4", b"{", b""):
             go = threading.Event()
 
-            def run(worker: HttpWorker, rid: str, go: threading.Event = go) -> None:
-                worker.tell(rid, "started")
-                worker.ran[rid] += 1
+            def run(worker: HttpWorker, request_id: str, go: threading.Event = go) -> None:
+                worker.tell(request_id, "started")
+                worker.ran[request_id] += 1
                 go.wait(20)
-                worker.tell(rid, "done", result="ran")
+                worker.tell(request_id, "done", result="ran")
 
-            def slow(worker: HttpWorker, rid: str, handler: Any, run: Any = run) -> None:
+            def slow(worker: HttpWorker, request_id: str, handler: Any, run: Any = run) -> None:
                 handler.say(202)
-                threading.Thread(target=run, args=(worker, rid), daemon=True).start()
+                threading.Thread(target=run, args=(worker, request_id), daemon=True).start()
 
             worker = HttpWorker("h1", slow)
             worker.load = load
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -107,25 +107,25 @@
     return not to_worker(conn)
 
 
-def ask(stage: Stage, cls: str, rid: str = "a") -> Peer:
+def ask(stage: Stage, cls: str, request_id: str = "a") -> Peer:
     client = stage.client()
-    client.say(job(cls, rid))
+    client.say(job(cls, request_id))
     return client
 
 
-def run(stage: Stage, client: Peer, rid: str = "a") -> bytes:
+def run(stage: Stage, client: Peer, request_id: str = "a") -> bytes:
     """Let the job run wherever it begins, and return what its client got within 2 s."""
     done: set[str] = set()
     for _ in range(200):
         stage.pass_time(10)
         stage.turn(2, wait=0.5)
         for worker in stage.workers:
-            if rid in worker.begun() and rid not in done:
-                done.add(rid)
+            if request_id in worker.begun() and request_id not in done:
+                done.add(request_id)
                 for peer in worker.peers:
-                    if not peer.ended and f"Req-Id: {rid}".encode() in peer.got:
+                    if not peer.ended and f"Req-Id: {request_id}".encode() in peer.got:
                         peer.say(http(202))
-                stage.client().say(told(rid, worker.name, "done", result="ok"))
+                stage.client().say(told(request_id, worker.name, "done", result="ok"))
         if client.look():
             break
     return client.got
@@ -193,12 +193,14 @@
     def test_one_that_the_selector_does_not_take_leaves_nothing_behind(self) -> None:
         with faulty() as (stage, _):
             stage.turn()
-            register = stage.gate.register
-            with mock.patch.object(stage.gate, "register", side_effect=OSError(errno.ENOSPC, "epoll_ctl")):
+            register = stage.selector.register
+            with mock.patch.object(
+                stage.selector, "register", side_effect=OSError(errno.ENOSPC, "epoll_ctl")
+            ):
                 client = stage.client()
                 stage.turn(3)
             self.assertEqual(len(stage.loop.connections), 0)
-            self.assertEqual(stage.gate.register, register)
+            self.assertEqual(stage.selector.register, register)
             client.look()
             self.assertNotEqual(client.ended, "")
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,18 +30,18 @@
         self.statuses: list[int] = []
         self.ended = False  # the test is over, and its dispatchers are killed in the middle of what they do
 
-    def act(self, worker: HttpWorker, rid: str, handler: Any) -> None:
-        if rid.startswith("q"):
-            worker.serve(rid, handler)
+    def act(self, worker: HttpWorker, request_id: str, handler: Any) -> None:
+        if request_id.startswith("q"):
+            worker.serve(request_id, handler)
             return
-        worker.ran[rid] += 1
+        worker.ran[request_id] += 1
         handler.say(202)
-        worker.tell(rid, "started")
+        worker.tell(request_id, "started")
 
         def later() -> None:
             self.go.wait(20)
             try:
-                self.statuses.append(worker.tell(rid, "done", result=f"ran {rid}"))
+                self.statuses.append(worker.tell(request_id, "done", result=f"ran {request_id}"))
             except OSError:
                 if not self.ended:
                     raise
@@ -70,10 +70,10 @@
         wait_for(lambda: call(program.at["management"], b"ready\n").startswith("ok"), "it to serve")
         return program
 
-    def ask(self, rid: bytes) -> socket.socket:
+    def ask(self, request_id: bytes) -> socket.socket:
         sock = caller(self.programs[0].edge)
-        sock.sendall(ASK.replace(b"time-lookup", b"result-post") % rid)
-        wait_for(lambda: self.held.worker.ran[rid.decode()], "the job to be out")
+        sock.sendall(ASK.replace(b"time-lookup", b"result-post") % request_id)
+        wait_for(lambda: self.held.worker.ran[request_id.decode()], "the job to be out")
         return sock
 
     @property
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -12,22 +12,22 @@
 DECLINED = http(503, "Srv-Declined: 1")
 
 
-def ask(stage: Stage, cls: str, rid: str) -> tuple[Peer, Peer]:
+def ask(stage: Stage, cls: str, request_id: str) -> tuple[Peer, Peer]:
     """Send a job, and wait until it has begun; the client, and the worker's end of the connection."""
     before = len(stage.begun())
     client = stage.client()
-    client.say(job(cls, rid))
+    client.say(job(cls, request_id))
     stage.until(lambda: stage.service.edge.jobs, "the job")
     stage.pass_time(40)
     stage.until(lambda: len(stage.begun()) > before, "the job to begin")
-    peers = [p for w in stage.workers for p in w.peers if f"Req-Id: {rid}".encode() in p.got]
+    peers = [p for w in stage.workers for p in w.peers if f"Req-Id: {request_id}".encode() in p.got]
     return client, peers[-1]
 
 
-def serve(stage: Stage, rid: str, client: Peer) -> bytes:
+def serve(stage: Stage, request_id: str, client: Peer) -> bytes:
     """Tell its end by a call-back, and return what the client gets."""
-    name = next(w.name for w in stage.workers if rid in w.begun())
-    stage.client().say(told(rid, name, "done", result="ok"))
+    name = next(w.name for w in stage.workers if request_id in w.begun())
+    stage.client().say(told(request_id, name, "done", result="ok"))
     return bytes(stage.until(client.look, "the client's answer"))
 
 
@@ -162,7 +162,9 @@
         for ends, name in ((True, "answered"), (False, "failed")):
             with self.subTest(ends=ends), staged(workers=1) as stage:
                 stage.service.workers.probe(stage.core.entries["w0"])
-                (peer,) = stage.until(lambda s=stage: [p for p in s.workers[0].look() if p.requests()], "it")
+                (peer,) = stage.until(
+                    lambda s=stage: [p for p in s.workers[0].accept_pending() if p.requests()], "it"
+                )
                 peer.say(b"HTTP/1.1 200 X\r\n\r\n")
                 stage.turn(3)
                 if ends:
