--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,7 +1,8 @@
-"""System calls that fail in the ways that Linux documents: every request has one final answer, what must not
-run twice does not, and no failure that lasts makes a busy loop or takes a descriptor with it.
+"""System calls that fail in the ways that Linux documents.
 
-Faults are put below the program's own sockets, by call and by whose connection it is; the peers' calls work.
+Every request must still get one final answer, a job that must not run twice must not, and a lasting failure
+must neither cause a busy loop nor leak a descriptor. Calls on the dispatcher's own sockets are made to fail,
+by name and connection; calls of its peers work.
 """
 
 from __future__ import annotations
@@ -25,96 +26,104 @@
 from tests.standins import ROOT, HttpWorker, http_call, running, wait_for
 
 CLASSES = ("time-lookup", "result-post")
-SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
-NO_ROOM_TO_ACCEPT = (*SHORTAGES, errno.EMFILE, errno.ENFILE)
-# accept(2): errors that are already pending on the new connection are told as the call's own.
+MEMORY_SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
+NO_ROOM_TO_ACCEPT = (*MEMORY_SHORTAGES, errno.EMFILE, errno.ENFILE)
+# accept(2) reports errors that are already pending on the new connection as its own.
 PENDING_ON_ACCEPT = (
     errno.ECONNABORTED, errno.ENETDOWN, errno.EPROTO, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
     errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.EPERM,
 )  # fmt: skip
-OUR_OWN = (*NO_ROOM_TO_ACCEPT, errno.EADDRNOTAVAIL, errno.EACCES)
-ITS_ADDRESS = (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT)
+LOCAL_ERRORS = (*NO_ROOM_TO_ACCEPT, errno.EADDRNOTAVAIL, errno.EACCES)
+REMOTE_ERRORS = (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT)
 
 
 class Faults:
-    """Makes calls on the program's own sockets fail. `calls` counts all of them by name."""
+    """Makes calls on the dispatcher's own sockets fail. `calls` counts all calls on them by name."""
 
     def __init__(self, stage: Stage) -> None:
         self.stage = stage
         self.calls: Counter[str] = Counter()
         self.failing: dict[
             str, Callable[[socket.socket], int]
-        ] = {}  # call to its errno for a socket; 0: none
+        ] = {}  # by call: returns the errno to fail with on a socket, or 0
 
     def fail(
-        self, call: str, number: int, times: int, which: Callable[[Any], bool] = lambda conn: True
+        self, call: str, error_number: int, times: int, which: Callable[[Any], bool] = lambda conn: True
     ) -> None:
-        """Let the next `times` of these calls fail, on those connections that `which` names."""
-        left = times
+        """Let the next `times` of these calls fail with this errno, on connections that `which` accepts."""
+        remaining = times
 
         def decide(sock: socket.socket) -> int:
-            nonlocal left
+            nonlocal remaining
             conn = self.connection_of(sock)
-            if left <= 0 or (conn is not None and not which(conn)):
+            if remaining <= 0 or (conn is not None and not which(conn)):
                 return 0
-            left -= 1
-            return number
+            remaining -= 1
+            return error_number
 
         self.failing[call] = decide
 
     def connection_of(self, sock: socket.socket) -> Any:
+        """Return the dispatcher's connection on this socket, or None."""
         return next((c for c in self.stage.loop.connections.all() if c.sock is sock), None)
 
-    def is_ours(self, call: str, sock: socket.socket) -> bool:
+    def is_of_dispatcher(self, call: str, sock: socket.socket) -> bool:
+        """Return whether the dispatcher, and not one of its peers, makes this call on the socket."""
         if call == "accept":
             return sock is self.stage.service.edge.listener.sock
         return call == "connect_ex" or self.connection_of(sock) is not None
 
-    def wrapped(self, call: str, original: Callable[..., Any]) -> Callable[..., Any]:
+    def wrap(self, call: str, original: Callable[..., Any]) -> Callable[..., Any]:
+        """Return a replacement of a method of `socket.socket` that counts its calls and lets them fail."""
+
         def wrapper(sock: socket.socket, *args: Any) -> Any:
-            if not self.is_ours(call, sock):
+            if not self.is_of_dispatcher(call, sock):
                 return original(sock, *args)
             self.calls[call] += 1
-            number = self.failing.get(call, lambda sock: 0)(sock)
-            if number and call == "connect_ex":
-                if number == errno.EINTR:
-                    original(sock, *args)  # interrupted, it goes on by itself
-                return number
-            if number:
-                raise OSError(number, call)
+            error_number = self.failing.get(call, lambda sock: 0)(sock)
+            if error_number and call == "connect_ex":
+                if error_number == errno.EINTR:
+                    original(sock, *args)  # an interrupted connect continues in the background
+                return error_number
+            if error_number:
+                raise OSError(error_number, call)
             return original(sock, *args)
 
         return wrapper
 
     @contextlib.contextmanager
     def installed(self) -> Iterator[None]:
+        """Replace the methods of `socket.socket`, for as long as the context lasts."""
         with contextlib.ExitStack() as stack:
             for call in ("accept", "recv", "recv_into", "send", "connect_ex"):
-                wrapper = self.wrapped(call, getattr(socket.socket, call))
+                wrapper = self.wrap(call, getattr(socket.socket, call))
                 stack.enter_context(mock.patch.object(socket.socket, call, wrapper, create=True))
             yield
 
 
 @contextlib.contextmanager
-def faulty(workers: int = 2, **more: Any) -> Iterator[tuple[Stage, Faults]]:
+def harness_with_faults(workers: int = 2, **more: Any) -> Iterator[tuple[Stage, Faults]]:
+    """A harness as of `staged`, and the faults that are installed under its dispatcher."""
     with staged(workers, **more) as stage:
         faults = Faults(stage)
         with faults.installed():
             yield stage, faults
 
 
-def to_client(conn: Any) -> bool:
+def leads_to_client(conn: Any) -> bool:
+    """Return whether the connection is one to a client."""
     return not to_worker(conn)
 
 
-def ask(stage: Stage, cls: str, request_id: str = "a") -> Peer:
+def submit_job(stage: Stage, cls: str, request_id: str = "a") -> Peer:
+    """Connect a client that sends a job, and return it."""
     client = stage.client()
     client.say(job(cls, request_id))
     return client
 
 
-def run(stage: Stage, client: Peer, request_id: str = "a") -> bytes:
-    """Let the job run wherever it begins, and return what its client got within 2 s."""
+def run_job(stage: Stage, client: Peer, request_id: str = "a") -> bytes:
+    """Let the job run at the worker where it begins; return what its client received within 2 s."""
     done: set[str] = set()
     for _ in range(200):
         stage.pass_time(10)
@@ -131,30 +140,35 @@
     return client.got
 
 
-class Shortages(unittest.TestCase):
-    """ENOBUFS and ENOMEM say nothing of the connection: the call is made again a little later."""
+class MemoryShortages(unittest.TestCase):
+    """ENOBUFS and ENOMEM say nothing about the connection: the call is repeated a little later."""
 
-    def test_on_reads_and_writes_nobody_notices(self) -> None:
+    def test_reads_and_writes_are_repeated_unnoticed(self) -> None:
+        """A temporary shortage must not end a connection, nor make a job run twice."""
         for cls in CLASSES:
-            for number in SHORTAGES:
+            for error_number in MEMORY_SHORTAGES:
                 for call, which in (
-                    ("recv", to_client), ("recv", to_worker), ("send", to_client), ("send", to_worker),
+                    ("recv", leads_to_client), ("recv", to_worker),
+                    ("send", leads_to_client), ("send", to_worker),
                 ):  # fmt: skip
                     with (
-                        self.subTest(cls=cls, errno=errno.errorcode[number], call=call, which=which.__name__),
-                        faulty() as (stage, faults),
+                        self.subTest(
+                            cls=cls, errno=errno.errorcode[error_number], call=call, which=which.__name__
+                        ),
+                        harness_with_faults() as (stage, faults),
                     ):
-                        faults.fail(call, number, 4, which)
-                        client = ask(stage, cls)
-                        self.assertIn(b"200 OK", run(stage, client))
+                        faults.fail(call, error_number, 4, which)
+                        client = submit_job(stage, cls)
+                        self.assertIn(b"200 OK", run_job(stage, client))
                         self.assertEqual(stage.begun(), ["a"])
 
-    def test_while_they_last_the_loop_does_not_spin(self) -> None:
+    def test_a_lasting_shortage_does_not_make_the_loop_spin(self) -> None:
+        """The selector reports the socket as ready all the time."""
         for call in ("recv", "send"):
-            with self.subTest(call=call), faulty() as (stage, faults):
-                client = ask(stage, "time-lookup")
+            with self.subTest(call=call), harness_with_faults() as (stage, faults):
+                client = submit_job(stage, "time-lookup")
                 stage.until(lambda s=stage: s.core.outstanding, "the job")
-                faults.fail(call, errno.ENOBUFS, 10**6, to_worker if call == "send" else to_client)
+                faults.fail(call, errno.ENOBUFS, 10**6, to_worker if call == "send" else leads_to_client)
                 client.say(b"POST /time")
                 before = faults.calls[call]
                 for _ in range(20):
@@ -164,34 +178,42 @@
 
 
 class Accepting(unittest.TestCase):
-    def test_who_waits_is_let_in_whatever_the_call_says_first(self) -> None:
-        for number in (*NO_ROOM_TO_ACCEPT, *PENDING_ON_ACCEPT):
-            with self.subTest(errno=errno.errorcode[number]), faulty() as (stage, faults):
-                faults.fail("accept", number, 5)
-                client = ask(stage, "result-post")
-                self.assertIn(b"200 OK", run(stage, client))
+    def test_a_waiting_client_is_accepted_after_any_error_of_accept(self) -> None:
+        """An error of accept(2) must neither stop the listener nor lose the connections in its backlog."""
+        for error_number in (*NO_ROOM_TO_ACCEPT, *PENDING_ON_ACCEPT):
+            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (stage, faults):
+                faults.fail("accept", error_number, 5)
+                client = submit_job(stage, "result-post")
+                self.assertIn(b"200 OK", run_job(stage, client))
                 self.assertEqual(stage.begun(), ["a"])
 
-    def test_where_there_is_no_room_the_listener_rests(self) -> None:
-        for number in NO_ROOM_TO_ACCEPT:
-            with self.subTest(errno=errno.errorcode[number]), faulty() as (stage, faults):
-                faults.fail("accept", number, 10**6)
-                ask(stage, "time-lookup")
+    def test_the_listener_is_suspended_while_there_is_no_room(self) -> None:
+        """Without descriptors or memory the connection stays in the backlog and the listener readable."""
+        for error_number in NO_ROOM_TO_ACCEPT:
+            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (stage, faults):
+                faults.fail("accept", error_number, 10**6)
+                submit_job(stage, "time-lookup")
                 for _ in range(40):
                     stage.pass_time(5)
                     stage.turn(5, wait=0.0)
                 self.assertLess(faults.calls["accept"], 200 / loops.REST + 3)
 
-    def test_a_socket_that_takes_no_option_serves_all_the_same(self) -> None:
-        def refuses(sock: socket.socket, level: int, option: int, value: Any) -> None:
+    def test_a_connection_is_served_though_tcp_nodelay_cannot_be_set(self) -> None:
+        """The option only improves latency: its failure must not cost the connection."""
+
+        def refuse_option(sock: socket.socket, level: int, option: int, value: Any) -> None:
             if option == socket.TCP_NODELAY:
                 raise OSError(errno.EINVAL, "setsockopt")
 
-        with faulty() as (stage, _), mock.patch.object(socket.socket, "setsockopt", refuses, create=True):
-            self.assertIn(b"200 OK", run(stage, ask(stage, "time-lookup")))
+        with (
+            harness_with_faults() as (stage, _),
+            mock.patch.object(socket.socket, "setsockopt", refuse_option, create=True),
+        ):
+            self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "time-lookup")))
 
-    def test_one_that_the_selector_does_not_take_leaves_nothing_behind(self) -> None:
-        with faulty() as (stage, _):
+    def test_a_connection_that_cannot_be_registered_is_closed(self) -> None:
+        """If epoll takes no further descriptor, the accepted one must not leak."""
+        with harness_with_faults() as (stage, _):
             stage.turn()
             register = stage.selector.register
             with mock.patch.object(
@@ -206,36 +228,46 @@
 
 
 class Connecting(unittest.TestCase):
-    def test_one_that_was_interrupted_goes_on(self) -> None:
+    def test_an_interrupted_connect_continues(self) -> None:
+        """EINTR is no failure: the connect continues in the background and must not be repeated."""
         for cls in CLASSES:
-            with self.subTest(cls=cls), faulty(workers=1) as (stage, faults):
+            with self.subTest(cls=cls), harness_with_faults(workers=1) as (stage, faults):
                 faults.fail("connect_ex", errno.EINTR, 1)
-                self.assertIn(b"200 OK", run(stage, ask(stage, cls)))
+                self.assertIn(b"200 OK", run_job(stage, submit_job(stage, cls)))
                 self.assertEqual((stage.begun(), faults.calls["connect_ex"]), (["a"], 1))
 
-    def test_what_we_lack_is_not_put_down_to_the_worker(self) -> None:
-        for number in OUR_OWN:
-            with self.subTest(errno=errno.errorcode[number]), faulty(workers=4) as (stage, faults):
-                faults.fail("connect_ex", number, 2)
-                self.assertIn(b"200 OK", run(stage, ask(stage, "result-post")))
+    def test_a_local_shortage_does_not_count_against_the_worker(self) -> None:
+        """The attempt counts as not sent, and no worker is ejected."""
+        for error_number in LOCAL_ERRORS:
+            with (
+                self.subTest(errno=errno.errorcode[error_number]),
+                harness_with_faults(workers=4) as (stage, faults),
+            ):
+                faults.fail("connect_ex", error_number, 2)
+                self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "result-post")))
                 self.assertEqual((stage.begun(), stage.counted("out.ended.not_sent")), (["a"], 2))
                 self.assertEqual(stage.core.module.avoided(stage.clock.at), set())
 
-    def test_an_address_that_cannot_be_reached_is(self) -> None:
-        for number in ITS_ADDRESS:
-            with self.subTest(errno=errno.errorcode[number]), faulty(workers=4) as (stage, faults):
-                faults.fail("connect_ex", number, 1)
-                self.assertIn(b"200 OK", run(stage, ask(stage, "result-post")))
+    def test_an_unreachable_address_counts_as_not_connected(self) -> None:
+        """This is the worker's failure; the job goes to another one."""
+        for error_number in REMOTE_ERRORS:
+            with (
+                self.subTest(errno=errno.errorcode[error_number]),
+                harness_with_faults(workers=4) as (stage, faults),
+            ):
+                faults.fail("connect_ex", error_number, 1)
+                self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "result-post")))
                 self.assertEqual((stage.begun(), stage.counted("out.ended.not_connected")), (["a"], 1))
 
-    def test_while_nothing_can_be_reached_each_client_hears_so(self) -> None:
-        for number in (*OUR_OWN, *ITS_ADDRESS):
+    def test_clients_get_503_while_no_worker_can_be_reached(self) -> None:
+        """No attempt can begin, so each client must be told at its deadline that it may try again."""
+        for error_number in (*LOCAL_ERRORS, *REMOTE_ERRORS):
             for cls in CLASSES:
                 with (
-                    self.subTest(errno=errno.errorcode[number], cls=cls),
-                    faulty(workers=4) as (stage, faults),
+                    self.subTest(errno=errno.errorcode[error_number], cls=cls),
+                    harness_with_faults(workers=4) as (stage, faults),
                 ):
-                    faults.fail("connect_ex", number, 10**6)
+                    faults.fail("connect_ex", error_number, 10**6)
                     client = stage.client()
                     client.say(job(cls, "a", wait=1500))
                     stage.until(lambda s=stage: s.core.outstanding, "the job")
@@ -245,23 +277,26 @@
 
 
 class ShortCalls(unittest.TestCase):
-    def test_a_byte_at_a_time_all_is_served(self) -> None:
+    def test_a_job_is_served_though_each_call_moves_one_byte(self) -> None:
+        """recv(2) and send(2) may transfer less than they were asked to."""
         receive, send = socket.socket.recv, socket.socket.send
         for cls in CLASSES:
             with self.subTest(cls=cls), staged() as stage:
-                ours = Faults(stage)
+                faults = Faults(stage)
 
-                def recv(sock: socket.socket, size: int, *flags: int, ours: Faults = ours) -> bytes:
-                    return receive(sock, 1 if ours.connection_of(sock) else size, *flags)
+                def receive_one_byte(
+                    sock: socket.socket, size: int, *flags: int, faults: Faults = faults
+                ) -> bytes:
+                    return receive(sock, 1 if faults.connection_of(sock) else size, *flags)
 
-                def short(sock: socket.socket, data: Any, ours: Faults = ours) -> int:
-                    return send(sock, bytes(data[:1]) if ours.connection_of(sock) else data)
+                def send_one_byte(sock: socket.socket, data: Any, faults: Faults = faults) -> int:
+                    return send(sock, bytes(data[:1]) if faults.connection_of(sock) else data)
 
                 with (
-                    mock.patch.object(socket.socket, "recv", recv, create=True),
-                    mock.patch.object(socket.socket, "send", short, create=True),
+                    mock.patch.object(socket.socket, "recv", receive_one_byte, create=True),
+                    mock.patch.object(socket.socket, "send", send_one_byte, create=True),
                 ):
-                    client = ask(stage, cls)
+                    client = submit_job(stage, cls)
                     for _ in range(60):
                         stage.turn(10, wait=0.0)
                     self.assertTrue(stage.core.outstanding)
@@ -274,9 +309,10 @@
 
 
 class Listening(unittest.TestCase):
-    def test_an_address_that_cannot_be_bound_again_at_once(self) -> None:
-        """As one more request comes while the process closes: it is served, and its worker can call back."""
-        with faulty() as (stage, _):
+    def test_an_address_that_cannot_be_bound_again_is_retried(self) -> None:
+        """A closing process starts to listen again if a further request arrives, so that its worker can call
+        back. Binding may fail at first, and must be repeated until it succeeds."""
+        with harness_with_faults() as (stage, _):
             listener = stage.service.edge.listener
             address = listener.address
             listener.pause()
@@ -286,12 +322,12 @@
                 self.assertFalse(listener.on)
             stage.pass_time(loops.LISTEN_RETRY_MS)
             self.assertEqual((listener.on, listener.address), (True, address))
-            self.assertIn(b"200 OK", run(stage, ask(stage, "time-lookup")))
+            self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "time-lookup")))
 
 
 class Logging(unittest.TestCase):
-    def test_a_reader_of_the_log_that_has_gone_is_no_fault(self) -> None:
-        """Every write to standard error fails: it serves on, and ends in order."""
+    def test_the_process_serves_on_when_the_reader_of_its_log_has_gone(self) -> None:
+        """Every write to standard error fails; the process must serve on and end in order."""
         worker = HttpWorker("h1")
         with running([worker]) as (program, discovery):
             config = {**program.said, "listen": "127.0.0.1:0"}
@@ -301,13 +337,13 @@
                 [sys.executable, "-O", "-m", "eiderpin"], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True
             )
             assert process.stderr is not None
-            first = process.stderr.readline()
-            edge = next(part for part in first.split() if part.startswith("edge=")).partition("=")[2]
+            first_line = process.stderr.readline()
+            edge = next(part for part in first_line.split() if part.startswith("edge=")).partition("=")[2]
             process.stderr.close()
             worker.back = edge
             wait_for(lambda: http_call(edge, "GET", "/_health")[0] == 200, "it to be ready")
-            for sent, number in enumerate((signal.SIGUSR1, signal.SIGHUP, signal.SIGUSR1)):
-                process.send_signal(number)
+            for sent, signal_number in enumerate((signal.SIGUSR1, signal.SIGHUP, signal.SIGUSR1)):
+                process.send_signal(signal_number)
                 self.assertEqual(http_call(edge, "POST", "/time-lookup", Req_Id=f"a{sent}")[0], 200)
             process.send_signal(signal.SIGTERM)
             self.assertEqual(process.wait(20), 0)
