--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An old and a new process on one inherited socket, with stand-ins of the project's own."""
+"""Upgrades: an old and a new process on one inherited socket, with stand-ins for discovery and a worker."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 from tests.test_operators import ASK, DOOR, answer, call, caller, figures
 
 
-class Held:
-    """A worker that takes jobs and ends them when it is told to."""
+class HoldingWorker:
+    """A worker that accepts jobs, and completes those whose ids don't begin with "q" once `go` is set."""
 
     def __init__(self) -> None:
         self.go = threading.Event()
-        self.worker = HttpWorker("h1", self.act)
-        self.statuses: list[int] = []
-        self.ended = False  # the test is over, and its dispatchers are killed in the middle of what they do
+        self.worker = HttpWorker("h1", self.handle_job)
+        self.statuses: list[int] = []  # answers to its final call-backs
+        self.ended = False  # the test is over, and its dispatchers are being killed
 
-    def act(self, worker: HttpWorker, request_id: str, handler: Any) -> None:
+    def handle_job(self, worker: HttpWorker, request_id: str, handler: Any) -> None:
+        """Accept a job, and complete it at once or when `go` is set."""
         if request_id.startswith("q"):
             worker.serve(request_id, handler)
             return
@@ -38,7 +39,7 @@
         handler.say(202)
         worker.tell(request_id, "started")
 
-        def later() -> None:
+        def finish_later() -> None:
             self.go.wait(20)
             try:
                 self.statuses.append(worker.tell(request_id, "done", result=f"ran {request_id}"))
@@ -46,66 +47,75 @@
                 if not self.ended:
                     raise
 
-        threading.Thread(target=later, daemon=True).start()
+        threading.Thread(target=finish_later, daemon=True).start()
 
 
-class Side:
-    """One address, and the processes that come to serve it."""
+class UpgradeSite:
+    """An address, discovery and a worker, and the processes that serve the address one after the other.
+
+    `depth` is the number of characters by which the path of its directory is longer.
+    """
 
     def __init__(self, depth: int = 0) -> None:
-        self.held = Held()
+        self.held = HoldingWorker()
         self.discovery = Discovery()
         self.discovery.list("h1", self.held.worker.port)
         self.inherited = Inherited(depth)
         self.programs: list[Program] = []
 
     def start(self, **config: Any) -> Program:
+        """Start a process."""
         program = Program(self.discovery, inherits=self.inherited, management=DOOR, **config)
         self.programs.append(program)
         self.held.worker.back = program.edge
         return program
 
     def serving(self, **config: Any) -> Program:
+        """Start a process, and wait until it is ready to serve."""
         program = self.start(**config)
         wait_for(lambda: call(program.at["management"], b"ready\n").startswith("ok"), "it to serve")
         return program
 
-    def ask(self, request_id: bytes) -> socket.socket:
+    def start_job(self, request_id: bytes) -> socket.socket:
+        """Send a job, wait until it runs at the worker, and return the client's socket."""
         sock = caller(self.programs[0].edge)
         sock.sendall(ASK.replace(b"time-lookup", b"result-post") % request_id)
         wait_for(lambda: self.held.worker.ran[request_id.decode()], "the job to be out")
         return sock
 
     @property
-    def link(self) -> str:
+    def link_path(self) -> str:
+        """The path of the Unix socket that links the old and the new process."""
         name = self.programs[0].edge.replace(":", "-")
         return os.path.join(self.inherited.folder.name, f"eiderpin-{name}.link")
 
 
 @contextlib.contextmanager
-def side(depth: int = 0) -> Iterator[Side]:
-    it = Side(depth)
+def side(depth: int = 0) -> Iterator[UpgradeSite]:
+    """An `UpgradeSite`; in the end no process may have logged a traceback or a broken invariant."""
+    site = UpgradeSite(depth)
     try:
-        yield it
-        lines = [line for program in it.programs for line in program.lines]
+        yield site
+        lines = [line for program in site.programs for line in program.lines]
         assert not [line for line in lines if "Traceback" in line or "invariant" in line], lines
     finally:
-        it.held.ended = True
-        it.held.go.set()
-        for program in it.programs:
+        site.held.ended = True
+        site.held.go.set()
+        for program in site.programs:
             program.process.kill()
             program.stop()
-        it.discovery.stop()
-        it.held.worker.stop()
-        it.inherited.close()
+        site.discovery.stop()
+        site.held.worker.stop()
+        site.inherited.close()
 
 
 def said(program: Program, text: str, times: int = 1) -> None:
+    """Wait until so many lines of the program's log contain `text`."""
     wait_for(lambda: sum(text in line for line in program.lines) >= times, text)
 
 
-def scripted_successor(path: str) -> tuple[socket.socket, socket.socket, int]:
-    """A newer process that serves, as far as the link shows: its listener, its link and its file's number."""
+def start_scripted_successor(path: str) -> tuple[socket.socket, socket.socket, int]:
+    """Act as a newer process that has begun to serve; return its listener, its link and its file's inode."""
     link, listener = socket.socket(socket.AF_UNIX), socket.socket(socket.AF_UNIX)
     link.connect(path)
     listener.bind(path + ".new")
@@ -124,14 +134,16 @@
 
 class Upgrade(unittest.TestCase):
     def test_the_new_process_takes_the_clients_and_the_old_one_finishes_and_ends(self) -> None:
-        for depth in (0, 120):  # a socket's name is short; the folder's need not be
-            with self.subTest(depth=depth), side(depth) as it:
-                old = it.serving()
+        """During an upgrade no request may fail: idle clients are closed in order, new ones are served by the
+        new process, and the old one answers its job before it exits."""
+        for depth in (0, 120):  # the address of a Unix socket is limited to about 100 bytes
+            with self.subTest(depth=depth), side(depth) as site:
+                old = site.serving()
                 idle = caller(old.edge)
                 idle.sendall(ASK % b"q1")
                 self.assertIn(b"ran q1", answer(idle))
-                slow = it.ask(b"s1")
-                new = it.serving()
+                waiting_client = site.start_job(b"s1")
+                new = site.serving()
                 said(old, TOOK)
                 self.assertEqual(rest(idle), b"")
                 asked = [http_call(new.edge, "POST", "/time-lookup", Req_Id=f"q{i}")[0] for i in range(2, 12)]
@@ -139,36 +151,40 @@
                 self.assertEqual(figures(new.at["management"])["results"]["time-lookup"]["succeeded"], 10)
                 for line in (b"drain\n", b"resume\n"):
                     self.assertTrue(call(old.at["management"], line).startswith("fail a newer process"))
-                # Its worker calls back at the address that both have; the new process passes it on.
-                it.held.go.set()
-                self.assertTrue(rest(slow).endswith(b"ran s1"))
+                # The worker calls back at the address that both share; the new process forwards it.
+                site.held.go.set()
+                self.assertTrue(rest(waiting_client).endswith(b"ran s1"))
                 self.assertEqual(old.process.wait(20), 0)
-                self.assertEqual(it.held.statuses, [204])
+                self.assertEqual(site.held.statuses, [204])
                 self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q12")[0], 200)
 
-    def test_jobs_that_outlast_the_old_process_go_over_with_their_clients(self) -> None:
-        with side() as it:
-            old = it.serving()
-            slow = [it.ask(b"s%d" % i) for i in range(3)]
-            gone = it.ask(b"s9")
-            new = it.serving()
+    def test_jobs_that_outlast_the_old_process_are_transferred_with_their_clients(self) -> None:
+        """The old process must exit in time though its jobs still run; none may be lost or run twice."""
+        with side() as site:
+            old = site.serving()
+            waiting_clients = [site.start_job(b"s%d" % i) for i in range(3)]
+            leaving_client = site.start_job(b"s9")
+            new = site.serving()
             old.process.send_signal(signal.SIGTERM)
             self.assertEqual(old.process.wait(20), 0)  # though its jobs have not ended
             self.assertEqual(figures(new.at["management"])["outstanding"], 4)
-            gone.close()
-            wait_for(lambda: figures(new.at["management"])["outstanding"] == 3, "one client's leaving")
-            it.held.go.set()
-            self.assertEqual([answer(sock)[-6:] for sock in slow], [b"ran s0", b"ran s1", b"ran s2"])
-            self.assertEqual(set(it.held.worker.ran.values()), {1})
-            for sock in slow:
+            leaving_client.close()
+            wait_for(lambda: figures(new.at["management"])["outstanding"] == 3, "the client's leaving")
+            site.held.go.set()
+            self.assertEqual(
+                [answer(sock)[-6:] for sock in waiting_clients], [b"ran s0", b"ran s1", b"ran s2"]
+            )
+            self.assertEqual(set(site.held.worker.ran.values()), {1})
+            for sock in waiting_clients:
                 sock.close()
 
-    def test_both_start_and_share_the_fewest_descriptors(self) -> None:
+    def test_both_processes_together_stay_within_the_descriptor_limit(self) -> None:
+        """Checked with the lowest limits that the settings allow, and with many clients."""
         least = {"sockets": 96, "memory_mb": 16}
-        with side() as it:
-            old = it.serving(limits=least)
-            slow = [it.ask(b"s%d" % i) for i in range(4)]
-            new = it.serving(limits=least)
+        with side() as site:
+            old = site.serving(limits=least)
+            waiting_clients = [site.start_job(b"s%d" % i) for i in range(4)]
+            new = site.serving(limits=least)
             said(old, TOOK)
             more = [caller(new.edge) for _ in range(60)]
             for i, sock in enumerate(more):
@@ -176,19 +192,22 @@
             wait_for(lambda: figures(new.at["management"])["outstanding"] >= 10, "jobs to be taken")
             both = sum(len(os.listdir(f"/proc/{p.process.pid}/fd")) for p in (old, new))
             self.assertLessEqual(both, 96)
-            it.held.go.set()
-            self.assertEqual([answer(sock)[-6:] for sock in slow], [b"ran s%d" % i for i in range(4)])
-            for sock in slow + more:
+            site.held.go.set()
+            self.assertEqual(
+                [answer(sock)[-6:] for sock in waiting_clients], [b"ran s%d" % i for i in range(4)]
+            )
+            for sock in waiting_clients + more:
                 sock.close()
 
-    def test_further_fronts_go_over_too(self) -> None:
-        with side() as it:
-            old = it.serving(fronts=("gearman", "agent_check"))
+    def test_the_gearman_front_and_the_agent_check_are_handed_over_too(self) -> None:
+        """The new process must take over all listeners, and a Gearman job must not be lost."""
+        with side() as site:
+            old = site.serving(fronts=("gearman", "agent_check"))
             at = {"gearman": old.at["gearman"], "agent_check": old.at["agent-check"]}
             waiting = GearmanPeer(at["gearman"])
             waiting.ask(Kind.SUBMIT_JOB, b"result-post", b"s1", b"")
-            wait_for(lambda: it.held.worker.ran, "the Gearman job to be out")
-            new = it.serving(fronts=at)
+            wait_for(lambda: site.held.worker.ran, "the Gearman job to be out")
+            new = site.serving(fronts=at)
             said(old, TOOK)
             old.process.send_signal(signal.SIGTERM)
             for _ in range(5):
@@ -197,91 +216,97 @@
             client.put(Kind.SUBMIT_JOB, b"time-lookup", b"q2", b"")
             self.assertEqual(client.until(Kind.WORK_COMPLETE).args[1][-6:], b"ran q2")
             self.assertEqual(figures(new.at["management"])["results"]["time-lookup"]["succeeded"], 1)
-            # A Gearman client's job stays where it is, and is answered there.
-            it.held.go.set()
+            # The job of a Gearman client is not transferred: the old process answers it.
+            site.held.go.set()
             self.assertEqual(waiting.until(Kind.WORK_COMPLETE).args[1][-6:], b"ran s1")
             self.assertEqual(old.process.wait(20), 0)
             client.close()
             waiting.close()
 
     def test_the_old_process_serves_on_when_the_new_one_is_killed(self) -> None:
-        with side() as it:
-            old = it.serving()
+        """A new version that dies must not take the service down; the next one can still be started."""
+        with side() as site:
+            old = site.serving()
             for times, number in enumerate((signal.SIGKILL, signal.SIGTERM), 1):
-                slow = it.ask(b"s%d" % number)
-                it.serving()
+                waiting_client = site.start_job(b"s%d" % number)
+                site.serving()
                 said(old, TOOK, times)
-                it.programs[-1].process.send_signal(number)
+                site.programs[-1].process.send_signal(number)
                 said(old, "taking clients again", times)
                 self.assertEqual(http_call(old.edge, "POST", "/time-lookup", Req_Id=f"q{number}")[0], 200)
                 self.assertTrue(call(old.at["management"], b"resume\n").startswith("ok"))
-                slow.close()
-            # It can still be found by the next one.
-            it.serving()
+                waiting_client.close()
+            # The next process still finds it.
+            site.serving()
             wait_for(lambda: old.process.poll() == 0, "the old one to end")
 
-    def test_a_dying_successor_is_replaced_in_whatever_order_it_closes(self) -> None:
-        for order in ("link first", "listener first", "a third took its place"):
-            with self.subTest(order=order), side() as it:
-                old = it.serving()
-                listener, link, published = scripted_successor(it.link)
+    def test_the_old_process_takes_over_again_in_whatever_order_its_successor_closes(self) -> None:
+        """A dying process closes its link and its listener in any order. Its socket file must be replaced by
+        that of the old process, but not if a third process has published its own meanwhile."""
+        for closing_order in ("link first", "listener first", "a third took its place"):
+            with self.subTest(closing_order=closing_order), side() as site:
+                old = site.serving()
+                listener, link, published = start_scripted_successor(site.link_path)
                 said(old, TOOK)
-                ends = [link, listener] if order != "listener first" else [listener, link]
-                if order == "a third took its place":
+                ends = [link, listener] if closing_order != "listener first" else [listener, link]
+                if closing_order == "a third took its place":
                     third = socket.socket(socket.AF_UNIX)
-                    third.bind(it.link + ".third")
-                    os.rename(it.link + ".third", it.link)
+                    third.bind(site.link_path + ".third")
+                    os.rename(site.link_path + ".third", site.link_path)
                     ends.append(third)
-                    published = os.lstat(it.link).st_ino
+                    published = os.lstat(site.link_path).st_ino
                 ends[0].close()
-                if order == "listener first":
-                    time.sleep(0.1)  # its file stands there, and nobody answers: the link is all that counts
-                    self.assertEqual(os.lstat(it.link).st_ino, published)
+                if closing_order == "listener first":
+                    time.sleep(0.1)  # nobody answers at its file any more, but the link is still open
+                    self.assertEqual(os.lstat(site.link_path).st_ino, published)
                     ends[1].close()
                 said(old, "taking clients again")
-                if order == "a third took its place":
-                    self.assertEqual(os.lstat(it.link).st_ino, published)
+                if closing_order == "a third took its place":
+                    self.assertEqual(os.lstat(site.link_path).st_ino, published)
                 else:
-                    it.serving()
+                    site.serving()
                     self.assertEqual(old.process.wait(20), 0)
                 for end in ends:
                     end.close()
 
-    def test_a_starting_process_looks_again_where_it_finds_a_dying_one(self) -> None:
-        for closes in ("refuses", "ends without a word"):
-            with self.subTest(closes=closes), side() as it:
-                old = it.serving()
-                os.rename(it.link, it.link + ".kept")
+    def test_a_starting_process_repeats_its_lookup_where_it_finds_a_dying_one(self) -> None:
+        """The socket file may be that of a dying process, whose predecessor is about to publish its own."""
+        for behaviour in ("refuses", "ends without a word"):
+            with self.subTest(behaviour=behaviour), side() as site:
+                old = site.serving()
+                os.rename(site.link_path, site.link_path + ".kept")
                 dying = socket.socket(socket.AF_UNIX)
-                dying.bind(it.link)
-                if closes != "refuses":
+                dying.bind(site.link_path)
+                if behaviour != "refuses":
                     dying.listen(1)
-                new = it.start()
-                if closes != "refuses":
+                new = site.start()
+                if behaviour != "refuses":
                     dying.accept()[0].close()
-                os.rename(it.link + ".kept", it.link)
+                os.rename(site.link_path + ".kept", site.link_path)
                 self.assertEqual(old.process.wait(20), 0)
                 self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
                 dying.close()
 
     def test_a_new_process_serves_alone_where_the_old_one_was_killed(self) -> None:
-        with side() as it:
-            old = it.serving()
+        """The stale socket file of the killed process must not keep the new one from serving."""
+        with side() as site:
+            old = site.serving()
             old.process.kill()
             old.process.wait()
-            self.assertTrue(os.path.exists(it.link))  # stale
-            new = it.serving()
+            self.assertTrue(os.path.exists(site.link_path))  # stale
+            new = site.serving()
             self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
-            last = it.serving()
+            last = site.serving()
             said(new, TOOK)
             new.process.kill()
             self.assertEqual(http_call(last.edge, "POST", "/time-lookup", Req_Id="q2")[0], 200)
 
-    def test_a_new_process_that_cannot_serve_yet_takes_nothing(self) -> None:
-        with side() as it:
-            old = it.serving()
-            it.discovery.silent = True
-            new = it.start()
+    def test_a_new_process_that_cannot_serve_yet_takes_no_clients(self) -> None:
+        """Without an answer from discovery it knows no workers: the old process must go on serving."""
+        with side() as site:
+            old = site.serving()
+            site.discovery.silent = True
+            new = site.start()
             self.assertTrue(call(new.at["management"], b"ready\n").startswith("fail"))
             self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             self.assertFalse(any(TOOK in line for line in old.lines))
@@ -289,20 +314,22 @@
             self.assertEqual(new.process.wait(20), 0)
             self.assertTrue(call(old.at["management"], b"ready\n").startswith("ok"))
 
-    def test_an_old_process_told_to_end_serves_until_the_new_one_can(self) -> None:
-        with side() as it:
-            old = it.serving()
-            it.discovery.silent = True
-            new = it.start()
+    def test_an_old_process_that_is_terminated_serves_until_the_new_one_can(self) -> None:
+        """Otherwise there would be a time in which nobody serves."""
+        with side() as site:
+            old = site.serving()
+            site.discovery.silent = True
+            new = site.start()
             old.process.send_signal(signal.SIGTERM)
-            time.sleep(1.0)  # alone it would have ended by now
+            time.sleep(1.0)  # without a successor it would have exited by now
             self.assertEqual(http_call(old.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
-            it.discovery.silent = False
+            site.discovery.silent = False
             self.assertEqual(old.process.wait(20), 0)
             wait_for(lambda: call(new.at["management"], b"ready\n").startswith("ok"), "it to serve")
             self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q2")[0], 200)
 
-    def test_nonsense_on_the_link_harms_nobody(self) -> None:
+    def test_invalid_messages_on_the_link_only_close_it(self) -> None:
+        """Whatever connects to the socket, the old process must serve on without an error."""
         hello = b'{"hello":1,"ids":[]}\n'
         cases = [
             b"nonsense\n", b"[]\n", b"{}\n", b"\xff\n", hello + b'{"adopt":{},"ask":1}\n',
@@ -310,29 +337,31 @@
             hello + b'{"news":[],"ask":1}\n',
             hello + b'{"serving":true}\n{"state":{"holds":{"h1":[-1,0]}}}\n',
         ]  # fmt: skip
-        with side() as it:
-            old = it.serving()
+        with side() as site:
+            old = site.serving()
             for case in cases:
                 with self.subTest(case=case), socket.socket(socket.AF_UNIX) as sock:
                     sock.settimeout(20)
-                    sock.connect(it.link)
+                    sock.connect(site.link_path)
                     sock.sendall(case)
                     with contextlib.suppress(ConnectionResetError):
                         while sock.recv(65536):
                             pass
             self.assertEqual(http_call(old.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
-            # Cut at every byte, what makes sense is understood; a call-back of nobody's id is answered.
+            # Valid messages are understood though they arrive byte by byte; a call-back is answered though
+            # nobody knows its id.
             with socket.socket(socket.AF_UNIX) as sock:
                 sock.settimeout(20)
-                sock.connect(it.link)
-                news = {"news": {"id": "x", "state": "done", "from": "h1"}, "ask": 5}
-                for byte in hello + json.dumps(news).encode() + b"\n":
+                sock.connect(site.link_path)
+                forwarded = {"news": {"id": "x", "state": "done", "from": "h1"}, "ask": 5}
+                for byte in hello + json.dumps(forwarded).encode() + b"\n":
                     sock.send(bytes([byte]))
-                got = b""
-                while b'{"told":5}' not in got:
-                    got += sock.recv(65536)
+                received = b""
+                while b'{"told":5}' not in received:
+                    received += sock.recv(65536)
 
-    def test_a_descriptor_that_does_not_listen_is_a_bad_configuration(self) -> None:
+    def test_a_descriptor_that_does_not_listen_is_a_configuration_error(self) -> None:
+        """GW_FD must name a listening socket; anything else must be refused at the start."""
         config = configuration.Config("n", ("", 1), ("", 1), 0, 96, 16.0, None, api.Settings([]))
         with socket.socket() as sock:
             for number in (str(sock.fileno()), "9999", "-1", "three", "9" * 30):
