--- a/eiderpin/net/discovery.py
+++ b/eiderpin/net/discovery.py
@@ -21,10 +21,10 @@
 
 logger = logging.getLogger("eiderpin")
 
-# A change of the list has to be known here within 6 s of when discovery had it and could be reached. The
-# worst case must stay below that: a call that gets no answer from its beginning on (WATCH_WAIT_MS +
-# SILENCE_TIMEOUT_MS), then one that is answered immediately. Where the decisions say when to call again, they
-# count from the beginning of the failed call (`ListWatch`).
+# A change of the list counts as known 6 s after discovery had it and could be reached, whether we received it
+# or not. The worst case must stay below that: a call that gets no answer from its beginning on (WATCH_WAIT_MS
+# + SILENCE_TIMEOUT_MS), then one that is answered immediately. Where the decisions say when to call again,
+# they count from the beginning of the failed call (`ListWatch`).
 WATCH_WAIT_MS = 2000  # discovery answers a watch after this time if nothing has changed
 SILENCE_TIMEOUT_MS = 700.0  # a call without an answer so long after that is repeated on a new connection
 RETRY_MS = 50.0  # before the next call after a failure; a watch must be renewed within 200 ms
@@ -87,11 +87,11 @@
 class Discovery:
     """Fetches the list, then watches it for changes, as long as the program runs.
 
-    If the setting `discovery` is "on_request" (`on_request`, KEEP_INFORMED in the protocol), one service of
-    fixed capacity answers all dispatchers. Then the decisions say when a watch begins: at the start and after
-    each failure, which is reported to them. It begins from the known generation, so that only the changes
-    are fetched. Many dispatchers that fetched the whole list again at the same time would overload the
-    service so much that it answered none of them.
+    If the setting `discovery` is "on_request" (KEEP_INFORMED in the wire protocol), one service of fixed
+    capacity answers all dispatchers. Then the decisions say when a watch begins: at the start and after each
+    failure, which is reported to them. It begins from the known generation, so that only the changes are
+    fetched. Many dispatchers that fetched the whole list again at the same time would overload the service so
+    much that it answered none of them.
 
     Args:
         link: reaches the workers of the list.
@@ -235,7 +235,7 @@
         self.handle_answers(messages)
 
     def reject_answer(self) -> None:
-        """The answer was not valid HTTP, JSON or no list: fetch the whole list next."""
+        """The answer is not valid HTTP, not JSON or not a list: fetch the whole list next."""
         self.note_failure("bad")
         self.generation = None
         self.handle_failure()
--- a/eiderpin/net/handover.py
+++ b/eiderpin/net/handover.py
@@ -32,7 +32,7 @@
 import orjson
 
 from eiderpin import interface as api
-from eiderpin.core import learned as carried
+from eiderpin.core import learned
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.core.moves import Moved, Waits, adopt, asked_by, hand_out
@@ -147,12 +147,12 @@
             self.handover.core.tell(api.Beside(holds))
             self.handover.on_change()
         elif "learned" in message:
-            self.handover.core.tell_learned(carried.check(message["learned"]))
+            self.handover.core.tell_learned(learned.check(message["learned"]))
         elif "serving" in message:
             self.serving = True
             published = message.get("published")
             self.published = _parse_identity(published) if published is not None else None
-            self.send({"learned": carried.of(self.handover.core.module)})
+            self.send({"learned": learned.of(self.handover.core.module)})
             self.handover.on_change()
         elif "news" in message:
             number = int(message["ask"])
@@ -161,15 +161,15 @@
             )
         elif "adopt" in message:
             sock = socket.socket(fileno=self.received_descriptors.popleft())
-            done = self.handover.adopt_job(message["adopt"], sock)
-            self.send({"adopted" if done else "refused": int(message["ask"])})
+            adopted = self.handover.adopt_job(message["adopt"], sock)
+            self.send({"adopted" if adopted else "refused": int(message["ask"])})
         elif "ledger" in message:
             if self.handover.ledger is not None:
                 self.handover.ledger.offered()
         elif "waits" in message:
             sock = socket.socket(fileno=self.received_descriptors.popleft())
-            done = self.handover.adopt_waiting_client(message["waits"], sock)
-            self.send({"adopted" if done else "refused": int(message["ask"])})
+            adopted = self.handover.adopt_waiting_client(message["waits"], sock)
+            self.send({"adopted" if adopted else "refused": int(message["ask"])})
         elif "adopted" in message:
             self.given.pop(int(message["adopted"]))[1].close()
         elif "refused" in message:
@@ -314,7 +314,7 @@
         return self.newer is not None and self.newer.serving
 
     def serve(self) -> None:
-        """We accept clients from now on: publish our socket, and tell our predecessor to stop accepting."""
+        """Publish our socket and tell our predecessor to stop accepting: we accept clients from now on."""
         self.publish()
         if self.older is not None:
             self.older.send({"state": self.get_state()})  # it reports our readiness as its own from now on
