--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -487,7 +487,7 @@
 
 
 def _is_usable(sock: socket.socket) -> bool:
-    """Whether an idle connection has neither ended nor callback anything unasked."""
+    """Return whether an idle connection is still open and has received nothing."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
