--- a/tests/test_discovery_ends.py
+++ b/tests/test_discovery_ends.py
@@ -179,7 +179,7 @@
 
     def test_each_failure_is_counted_by_kind_and_calls_are_not_repeated_too_often(self) -> None:
         """A failing agent must not be called in a busy loop, and a failure must not change the list."""
-        names = {"silent": "silent", "refused": "refused", "not understood": "refused", "closed": "closed",
+        kinds = {"silent": "silent", "refused": "refused", "not understood": "refused", "closed": "closed",
                  "reset": "closed", "cut": "closed", "trickled": "silent", "no JSON": "bad", "no list": "bad",
                  "older": "older"}  # fmt: skip
         for name, failure in FAILURES.items():
@@ -189,7 +189,7 @@
                 run_agent(stage, agent, ms=20)
                 agent.failure = failure
                 run_agent(stage, agent, ms=3000)
-                self.assertGreaterEqual(stage.counted(f"in.discovery_{names[name]}"), 1)
+                self.assertGreaterEqual(stage.counted(f"in.discovery_{kinds[name]}"), 1)
                 self.assertLess(agent.calls - before, 3000 / discovery.RETRY_MS + 2)
                 self.assertEqual(len(stage.core.entries), known)
                 self.assertLessEqual(len(stage.loop.connections), 1)
