--- a/eiderpin/net/discovery.py
+++ b/eiderpin/net/discovery.py
@@ -1,6 +1,6 @@
 """The client of the discovery service: fetches the list of workers and watches it for changes.
 
-A log event reports when calls begin to fail and when the list is up to date again; `list_age` says how old
+A log event reports when calls begin to fail and when the list is up to date again; `list_age_ms` says how old
 the list is.
 """
 
@@ -45,7 +45,7 @@
     """A document is not a valid list of workers."""
 
 
-def address(text: Any) -> tuple[str, int]:
+def parse_address(text: Any) -> tuple[str, int]:
     """Return (host, port) of "host:port". Raises `ListError`."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
@@ -79,7 +79,7 @@
             float(instance.get("weight") or 1.0),
             float(instance.get("startedAtMs") or 0) or None,
         )
-        entries.append((entry, address(instance.get("hostPort"))))
+        entries.append((entry, parse_address(instance.get("hostPort"))))
     generation = document.get("generation")
     return (generation if isinstance(generation, int) else 0), bool(document.get("reset")), entries
 
@@ -111,7 +111,7 @@
         self.reader = http.ResponseReader()
         self.timer: Deadline | None = None  # timeout of the call, or time of the next one
         self.has_called = False  # a call has begun since the start
-        self.told = False  # discovery has answered since the start
+        self.has_answered = False  # discovery has answered since the start
         self.verified = False  # discovery has answered since the last failure
         self.began_at = loop.clock.now()
         self.answered_at: float | None = None  # when the list was last known to be up to date
@@ -123,13 +123,13 @@
             core.source = self
         if known:
             generation, _, entries = read_list(known)
-            core.list_told(link, api.ListKind.STORED, self.on_our_clock(entries), by_discovery=True)
+            core.apply_worker_list(link, api.ListKind.STORED, self.with_local_start_times(entries), by_discovery=True)
             if self.on_request:
                 self.generation = self.newest_generation = generation
         if not known or not self.on_request:
             self.call()
 
-    def move(self, server_address: tuple[str, int]) -> None:
+    def change_address(self, server_address: tuple[str, int]) -> None:
         """Watch at another address from now on.
 
         Generations of another server are not comparable, so the whole list is fetched; until it is received
@@ -147,7 +147,7 @@
         self.call()
 
     @property
-    def list_age(self) -> float:
+    def list_age_ms(self) -> float:
         """ms since the list was last known to be up to date, or since the start if it never was."""
         last = self.began_at if self.answered_at is None else self.answered_at
         return self.loop.clock.now() - last
@@ -157,14 +157,14 @@
         self.core.counters.add(f"in.discovery_{reason}")
         self.failures += 1
         if self.failures == 1:
-            fields = {"reason": reason, "generation": self.generation, "list_age_ms": round(self.list_age)}
+            fields = {"reason": reason, "generation": self.generation, "list_age_ms": round(self.list_age_ms)}
             logger.warning("discovery does not tell the list", extra=fields)
 
     def note_answer(self, generation: int) -> None:
         """Note that the list is up to date; this is logged after failed calls."""
         if self.failures:
             fields = {"generation": generation, "failed_calls": self.failures,
-                      "list_age_ms": round(self.list_age)}  # fmt: skip
+                      "list_age_ms": round(self.list_age_ms)}  # fmt: skip
             logger.info("discovery tells the list", extra=fields)
         self.answered_at, self.failures = self.loop.clock.now(), 0
 
@@ -175,7 +175,7 @@
 
     def call(self) -> None:
         """Send the next call: a watch if the list is up to date, else one that is answered immediately."""
-        self.wall.look()
+        self.wall.sample()
         target = b"/catalog/members"
         wait_ms = 0.0
         if self.generation is not None:
@@ -206,7 +206,7 @@
 
     def on_end(self) -> None:
         """The connection was closed or lost; this completes an answer without Content-Length."""
-        last = self.reader.at_end()
+        last = self.reader.message_at_eof()
         if last is not None:
             self.handle_answers([last])
             return
@@ -221,7 +221,7 @@
             self.conn.close()
         self.conn = None
         if self.on_request:
-            self.core.list_told(self.link, api.ListKind.FAILED, (), by_discovery=True)
+            self.core.apply_worker_list(self.link, api.ListKind.FAILED, (), by_discovery=True)
             return
         self.timer = self.loop.deadlines.set(self.loop.clock.now() + retry_ms, self.call)
 
@@ -273,17 +273,17 @@
         self.note_answer(generation)
         self.generation = self.newest_generation = generation
         self.outdated_since = None
-        self.told = self.verified = True
+        self.has_answered = self.verified = True
         if whole or entries or self.on_request:  # on request an empty answer shows that the watch is active
             kind = api.ListKind.COMPLETE if whole else api.ListKind.CHANGES
-            self.core.list_told(self.link, kind, self.on_our_clock(entries), by_discovery=True)
+            self.core.apply_worker_list(self.link, kind, self.with_local_start_times(entries), by_discovery=True)
         self.loop.deadlines.drop(self.timer)
         if not message.keep_alive and self.conn is not None:
             self.conn.close()
             self.conn = None
         self.call()
 
-    def on_our_clock(self, entries: Entries) -> Entries:
+    def with_local_start_times(self, entries: Entries) -> Entries:
         """Convert the workers' start times in these entries to the dispatcher's clock; returns them."""
         for entry, _ in entries:
             if entry.born is None or entry.state is api.WorkerState.GONE:
@@ -291,7 +291,7 @@
                 continue
             listed, start = self.start_times.get(entry.name, (0.0, 0.0))
             if listed != entry.born:
-                listed, start = entry.born, self.wall.steady(entry.born)
+                listed, start = entry.born, self.wall.to_steady(entry.born)
                 self.start_times[entry.name] = (listed, start)
             entry.born = start
         return entries
--- a/eiderpin/net/handover.py
+++ b/eiderpin/net/handover.py
@@ -35,9 +35,9 @@
 from eiderpin.core import learned
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.moves import Moved, Waits, adopt, asked_by, hand_out
+from eiderpin.core.moves import TransferredRequest, WaitingClient, adopt, rebuild_request, transfer_request
 from eiderpin.core.requests import Request
-from eiderpin.net.edge import Edge, EdgeConnection
+from eiderpin.net.edge import HttpFront, ClientConnection
 from eiderpin.net.loop import Connection, Listener, Loop
 
 HELLO_TIMEOUT_MS = 1000.0  # a peer that sends nothing for so long after connecting is not a dispatcher
@@ -74,7 +74,7 @@
         self.state_sent_at = 0.0
         self.pending_callbacks: dict[int, tuple[Reply, Deadline]] = {}  # forwarded, by message number
         # Jobs and clients that were sent and are neither adopted nor refused yet, by message number.
-        self.given: dict[int, tuple[Moved | Waits, socket.socket]] = {}
+        self.pending_transfers: dict[int, tuple[TransferredRequest | WaitingClient, socket.socket]] = {}
         self.received_descriptors: deque[int] = deque()  # whose messages have not been handled yet
         self.silence_timeout = self.loop.deadlines.set(self.loop.clock.now() + HELLO_TIMEOUT_MS, self.close)
         self.state_check: Deadline | None = None
@@ -144,15 +144,15 @@
                 raise ValueError("a negative number of held slots")
             self.sockets, self.readiness = int(state["sockets"]), str(state["readiness"])
             self.holds = holds
-            self.handover.core.tell(api.Beside(holds))
+            self.handover.core.add_event(api.Beside(holds))
             self.handover.on_change()
         elif "learned" in message:
-            self.handover.core.tell_learned(learned.check(message["learned"]))
+            self.handover.core.apply_learned(learned.parse(message["learned"]))
         elif "serving" in message:
             self.serving = True
             published = message.get("published")
             self.published = _parse_identity(published) if published is not None else None
-            self.send({"learned": learned.of(self.handover.core.module)})
+            self.send({"learned": learned.collect(self.handover.core.module)})
             self.handover.on_change()
         elif "news" in message:
             number = int(message["ask"])
@@ -165,13 +165,13 @@
             self.send({"adopted" if adopted else "refused": int(message["ask"])})
         elif "ledger" in message:
             if self.handover.ledger is not None:
-                self.handover.ledger.offered()
+                self.handover.ledger.on_ledger_released()
         elif "waits" in message:
             sock = socket.socket(fileno=self.received_descriptors.popleft())
             adopted = self.handover.adopt_waiting_client(message["waits"], sock)
             self.send({"adopted" if adopted else "refused": int(message["ask"])})
         elif "adopted" in message:
-            self.given.pop(int(message["adopted"]))[1].close()
+            self.pending_transfers.pop(int(message["adopted"]))[1].close()
         elif "refused" in message:
             self.take_back(int(message["refused"]))
         elif "told" in message:
@@ -184,8 +184,8 @@
 
     def take_back(self, number: int) -> None:
         """Continue here with a job or client that the peer refused or that it had not adopted."""
-        moved, sock = self.given.pop(number)
-        if isinstance(moved, Waits):
+        moved, sock = self.pending_transfers.pop(number)
+        if isinstance(moved, WaitingClient):
             self.handover.adopt_waiting_client(asdict(moved), sock)
             return
         self.handover.kept_ids.add(moved.wire_id)
@@ -208,7 +208,7 @@
         if state != self.last_state or now > self.state_sent_at + STATE_REPEAT_MS:
             self.last_state, self.state_sent_at = state, now
             self.send({"state": state})
-        if self is self.handover.newer:
+        if self is self.handover.successor:
             self.handover.transfer_jobs()
         self.state_check = self.loop.deadlines.set(now + STATE_CHECK_MS, self.send_state)
 
@@ -217,7 +217,7 @@
         self.loop.deadlines.drop(self.silence_timeout)
         self.loop.deadlines.drop(self.state_check)
         self.conn.close()
-        for number in list(self.given):
+        for number in list(self.pending_transfers):
             self.take_back(number)
         while self.received_descriptors:
             os.close(self.received_descriptors.popleft())
@@ -231,24 +231,24 @@
 class LedgerOwner(Protocol):
     """The side of the ledger of durable jobs that the handover uses."""
 
-    def offered(self) -> None:
+    def on_ledger_released(self) -> None:
         """The previous owner has released the ledger to us, or has gone."""
         ...
 
-    def give(self) -> list[tuple[Waits, EdgeConnection]] | None:
+    def release(self) -> list[tuple[WaitingClient, ClientConnection]] | None:
         """Release the ledger. Returns the clients that wait for its jobs; None if it can't go yet."""
         ...
 
-    def wait_for(self, request: Request, client: EdgeConnection) -> None:
+    def attach_client(self, request: Request, client: ClientConnection) -> None:
         """Let a client wait here for a job of the ledger."""
         ...
 
-    def keep_early(self, callback: dict[str, Any], reply: Reply) -> bool:
+    def defer_callback(self, callback: dict[str, Any], reply: Reply) -> bool:
         """Defer a call-back until the ledger's jobs are recovered; return whether it was deferred."""
         ...
 
     @property
-    def given_up(self) -> bool:
+    def released(self) -> bool:
         """Whether we have released the ledger to the peer process."""
         ...
 
@@ -265,7 +265,7 @@
     """
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, http_front: Edge, path: str,
+        self, loop: Loop, core: Dispatcher, http_front: HttpFront, path: str,
         apply_callback: Callable[[dict[str, Any]], bool], get_state: Callable[[], dict[str, Any]],
         on_change: Callable[[], None], may_transfer: Callable[[], bool],
     ) -> None:  # fmt: skip
@@ -274,17 +274,17 @@
         self.kept_ids: set[str] = set()  # wire ids of jobs that were not adopted and stay here
         self.apply_callback = apply_callback
         self.get_state, self.on_change = get_state, on_change
-        self.older: Link | None = None
-        self.newer: Link | None = None
+        self.predecessor: Link | None = None
+        self.successor: Link | None = None
         self.unidentified_links: list[Link] = []
         self.last_number = 0  # of a message that is answered by its number
         self.ledger: LedgerOwner | None = None  # None: there are no durable jobs
         # Clients of the released ledger whose sockets are still to be sent to the successor.
-        self.unsent_clients: list[tuple[Waits, EdgeConnection]] = []
+        self.unsent_clients: list[tuple[WaitingClient, ClientConnection]] = []
         self.listener: Listener | None = None
         self.published: FileIdentity | None = None  # our own socket file
         self.lookups_left = LOOKUPS
-        self.again: Deadline | None = None  # of the next lookup of a predecessor
+        self.lookup_retry: Deadline | None = None  # of the next lookup of a predecessor
         self.find_predecessor()
 
     def find_predecessor(self) -> None:
@@ -293,10 +293,10 @@
         If its socket file exists but nobody answers, the owner may have been killed, or it is exiting and
         another process is about to publish its socket there. So the lookup is repeated a few times.
         """
-        self.again = None
+        self.lookup_retry = None
         conn = self.loop.connect(_short_socket_path(self.path))
         if conn is not None:
-            self.older = Link(self, conn, is_predecessor=True)
+            self.predecessor = Link(self, conn, is_predecessor=True)
         elif _file_identity(self.path) is not None:
             self.schedule_lookup()
 
@@ -304,21 +304,21 @@
         """Look for a predecessor again later, unless that was done often enough."""
         self.lookups_left -= 1
         if self.lookups_left > 0:
-            self.again = self.loop.deadlines.set(
+            self.lookup_retry = self.loop.deadlines.set(
                 self.loop.clock.now() + LOOKUP_RETRY_MS, self.find_predecessor
             )
 
     @property
     def handed_over(self) -> bool:
         """Whether a newer process accepts the clients now."""
-        return self.newer is not None and self.newer.serving
+        return self.successor is not None and self.successor.serving
 
     def serve(self) -> None:
         """Publish our socket and tell our predecessor to stop accepting: we accept clients from now on."""
         self.publish()
-        if self.older is not None:
-            self.older.send({"state": self.get_state()})  # it reports our readiness as its own from now on
-            self.older.send({"serving": True, "published": self.published})
+        if self.predecessor is not None:
+            self.predecessor.send({"state": self.get_state()})  # it reports our readiness as its own from now on
+            self.predecessor.send({"serving": True, "published": self.published})
 
     def publish(self) -> None:
         """Put our socket where the next process looks for it.
@@ -355,11 +355,11 @@
         """Take the peer's hello with the ids of its jobs; only one newer process is accepted."""
         if link in self.unidentified_links:
             self.unidentified_links.remove(link)
-            if self.newer is not None:
+            if self.successor is not None:
                 link.close()
                 return
-            self.newer = link
-        self.core.ids_beside |= ids
+            self.successor = link
+        self.core.peer_request_ids |= ids
         self.on_change()
 
     def on_link_closed(self, link: Link) -> None:
@@ -367,16 +367,16 @@
         if link in self.unidentified_links:
             self.unidentified_links.remove(link)
             return
-        if link is self.older:
-            self.older = None
+        if link is self.predecessor:
+            self.predecessor = None
             if not link.hello_received and self.listener is None:
                 self.schedule_lookup()  # it was exiting and sent no hello
-        elif link is self.newer:
-            self.newer = None
+        elif link is self.successor:
+            self.successor = None
             unsent, self.unsent_clients = self.unsent_clients, []
             for waits, client in unsent:
                 if self.ledger is not None and not client.conn.closed:
-                    self.ledger.wait_for(asked_by(self.core, waits), client)
+                    self.ledger.attach_client(rebuild_request(self.core, waits), client)
             # Publish our socket again, if the file there is still that of the successor. Whether somebody
             # answers there doesn't matter: an exiting process may close its listener last. The file of a
             # third process stays, because that process has the clients.
@@ -386,38 +386,38 @@
                 self.publish()
         else:
             return
-        if self.older is None and self.newer is None:
-            self.core.ids_beside.clear()
-        self.core.tell(api.Beside(gone=True))
+        if self.predecessor is None and self.successor is None:
+            self.core.peer_request_ids.clear()
+        self.core.add_event(api.Beside(gone=True))
         self.on_change()
 
     def transfer_jobs(self) -> None:
         """Transfer the jobs that can go to our successor, with their clients' sockets."""
-        if not self.handed_over or not self.may_transfer() or self.newer is None:
+        if not self.handed_over or not self.may_transfer() or self.successor is None:
             return
         for request in self.core.requests.all():
-            client = self.http_front.movable(request)
+            client = self.http_front.transferable_connection(request)
             if client is None or request.wire_id in self.kept_ids:
                 continue
-            moved = hand_out(self.core, request)
+            moved = transfer_request(self.core, request)
             if moved is None:
                 continue
-            client.hold(None)
+            client.set_request(None)
             sock, self.last_number = client.conn.detach(), self.last_number + 1
-            if not self.newer.send_socket({"adopt": asdict(moved), "ask": self.last_number}, sock):
+            if not self.successor.send_socket({"adopt": asdict(moved), "ask": self.last_number}, sock):
                 self.adopt_job(asdict(moved), sock)  # the link is busy: try again next time
                 return
-            self.newer.given[self.last_number] = (moved, sock)
+            self.successor.pending_transfers[self.last_number] = (moved, sock)
         self.transfer_ledger()
 
     def transfer_ledger(self) -> None:
         """Release the ledger to our successor once that is possible; then send the clients of its jobs."""
-        assert self.newer is not None
-        if self.ledger is not None and not self.ledger.given_up:
-            waiting = self.ledger.give()
+        assert self.successor is not None
+        if self.ledger is not None and not self.ledger.released:
+            waiting = self.ledger.release()
             if waiting is None:
                 return
-            self.newer.send({"ledger": True})
+            self.successor.send({"ledger": True})
             self.unsent_clients += waiting
         while self.unsent_clients:
             waits, client = self.unsent_clients[0]
@@ -425,12 +425,12 @@
                 self.unsent_clients.pop(0)
                 continue
             self.last_number += 1
-            if not self.newer.send_socket(
+            if not self.successor.send_socket(
                 {"waits": asdict(waits), "ask": self.last_number}, client.conn.sock
             ):
                 return  # the link is busy: try again next time
-            client.hold(None)
-            self.newer.given[self.last_number] = (waits, client.conn.detach())
+            client.set_request(None)
+            self.successor.pending_transfers[self.last_number] = (waits, client.conn.detach())
             self.unsent_clients.pop(0)
 
     def adopt_waiting_client(self, fields: dict[str, Any], sock: socket.socket) -> bool:
@@ -439,7 +439,7 @@
         try:
             if self.ledger is None:
                 raise ValueError("no ledger of durable jobs here")
-            self.ledger.wait_for(asked_by(self.core, Waits(**fields)), client)
+            self.ledger.attach_client(rebuild_request(self.core, WaitingClient(**fields)), client)
         except (ValueError, TypeError, AttributeError):
             client.conn.close()
             return False
@@ -449,28 +449,28 @@
         """Adopt a job from the peer process, or take our own back; return whether that was possible."""
         client = self.http_front.adopt(sock)
         try:
-            request = adopt(self.core, Moved(**fields), client)
+            request = adopt(self.core, TransferredRequest(**fields), client)
         except (ValueError, TypeError, AttributeError):
             client.conn.close()  # only our descriptor: the peer process still has its own
             return False
-        client.hold(request)
-        self.http_front.may_hold(client)
+        client.set_request(request)
+        self.http_front.account_memory(client)
         return True
 
-    def pass_on(self, callback: dict[str, Any], reply: Reply) -> None:
+    def forward_callback(self, callback: dict[str, Any], reply: Reply) -> None:
         """Forward a call-back for an id that we do not know: a peer process may. It is always answered."""
-        links = [link for link in (self.older, self.newer) if link is not None and link.hello_received]
+        links = [link for link in (self.predecessor, self.successor) if link is not None and link.hello_received]
         self._forward(links, callback, reply)
 
     def on_forwarded_callback(self, link: Link, callback: dict[str, Any], reply: Reply) -> None:
         """Handle a call-back that a peer process forwarded, or forward it to the peer on our other side."""
-        beyond = self.newer if link.is_predecessor else self.older
-        if self.ledger is not None and self.ledger.keep_early(callback, reply):
+        beyond = self.successor if link.is_predecessor else self.predecessor
+        if self.ledger is not None and self.ledger.defer_callback(callback, reply):
             return
         if (
             not link.is_predecessor
             and self.ledger is not None
-            and self.ledger.given_up
+            and self.ledger.released
             and not self.apply_callback(callback)
         ):
             # It may belong to the ledger that is on its way there. Without a reply the sender's timeout
--- a/eiderpin/net/loop.py
+++ b/eiderpin/net/loop.py
@@ -18,10 +18,10 @@
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 READ_BYTES = 65536  # most bytes of one read
 # After we have shut down our sending side, input is read and discarded for at most this long and this much.
-LINGER = 2500.0
+LINGER_MS = 2500.0
 LINGER_MAX_BYTES = 128 << 20
 FINAL_WRITE_MS = 5000.0  # time for a peer to take the pending output of a connection that is being closed
-REST = 20.0  # how long a listener without room leaves connections in the backlog
+SUSPEND_MS = 20.0  # how long a listener without room leaves connections in the backlog
 LISTEN_RETRY_MS = 20.0  # between attempts to bind an address again after listening on it was stopped
 DISCARD_BUFFER = bytearray(256 * 1024)  # input that is not processed is read into it
 MAX_UNSENT_BYTES = 1 << 20  # a peer that leaves more output unread is disconnected
@@ -58,8 +58,8 @@
 
     __slots__ = (
         "loop", "sock", "number", "connecting", "closed", "unsent", "closing", "on_open",
-        "on_data", "on_end", "on_flushed", "on_closed", "taken", "mask", "discarded_bytes", "close_deadline",
-        "receive", "waited", "retry_deadline", "queued", "on_writable",
+        "on_data", "on_end", "on_flushed", "on_closed", "bytes_sent", "mask", "discarded_bytes", "close_deadline",
+        "receive", "peer_is_waiting", "retry_deadline", "backlog_wait_ms", "on_writable",
     )  # fmt: skip
 
     def __init__(self, loop: Loop, sock: socket.socket, connecting: bool) -> None:
@@ -69,7 +69,7 @@
         self.closed = False
         self.closing = False  # closed as soon as `unsent` is written
         self.unsent = bytearray()
-        self.taken = 0  # bytes accepted by the kernel
+        self.bytes_sent = 0  # bytes accepted by the kernel
         self.on_open: Callable[[], None] = _ignore_event
         self.on_data: Callable[[bytes], None] = _ignore_data
         self.on_end: Callable[[], None] = _ignore_event  # the peer closed, or the stream failed
@@ -78,8 +78,8 @@
         self.on_closed: Callable[[], None] = _ignore_event  # the descriptor is released, whoever closed
         self.discarded_bytes = 0  # input discarded since the close began
         self.close_deadline: Deadline | None = None
-        self.queued = 0.0  # ms it may have spent in the listen backlog while accepting was suspended
-        self.waited = False  # the peer waits for an answer; its leaving must be noticed early
+        self.backlog_wait_ms = 0.0  # ms it may have spent in the listen backlog while accepting was suspended
+        self.peer_is_waiting = False  # the peer waits for an answer; its leaving must be noticed early
         self.receive: Callable[[int], bytes] = sock.recv
         self.retry_deadline: Deadline | None = None  # repeats a call for which the kernel had no memory
         sock.setblocking(False)
@@ -108,7 +108,7 @@
             # The end of stream of a peer that is waiting may follow its data directly. Nothing more must be
             # done for it then, so read on in this turn to find the end.
             for _ in range(READS_PER_TURN):
-                if not self._read() or not self.waited:
+                if not self._read() or not self.peer_is_waiting:
                     return
 
     def _read(self) -> bool:
@@ -178,7 +178,7 @@
         try:
             while self.unsent:
                 sent = self.sock.send(self.unsent)
-                self.taken += sent
+                self.bytes_sent += sent
                 del self.unsent[:sent]
         except (BlockingIOError, InterruptedError):
             if len(self.unsent) > MAX_UNSENT_BYTES:
@@ -225,7 +225,7 @@
             self.close()
             return
         self.on_end = _ignore_event
-        self._close_within(LINGER)
+        self._close_within(LINGER_MS)
 
     def _close_within(self, ms: float) -> None:
         self.loop.deadlines.drop(self.close_deadline)
@@ -288,11 +288,11 @@
 
 
 class Listener:
-    """Accepts connections while it is `on` and `make_room` returns True.
+    """Accepts connections while it is `accepting` and `make_room` returns True.
 
     Args:
         address_or_socket: (host, port), or an already listening socket that other processes may share. Such
-            a socket is not bound here, and `pause` leaves it open.
+            a socket is not bound here, and `stop` leaves it open.
         on_accept: called with each accepted connection.
         make_room: called when accepting resumes and when descriptors run out; frees resources if it can and
             returns whether there is room for a connection.
@@ -303,12 +303,12 @@
     def __init__(
         self, loop: Loop, address_or_socket: tuple[str, int] | socket.socket,
         on_accept: Callable[[Connection], None],
-        make_room: Callable[[], bool] = lambda: True, on: bool = True, shared: bool = False,
+        make_room: Callable[[], bool] = lambda: True, accepting: bool = True, shared: bool = False,
     ) -> None:  # fmt: skip
         self.loop = loop
         self.on_accept = on_accept
         self.make_room = make_room
-        self.on = self.suspended = self._registered = False
+        self.accepting = self.suspended = self._registered = False
         self._has_listened = False
         self._listen_retry: Deadline | None = None
         self._backlog_since: float | None = None  # first suspension since the backlog was last empty
@@ -320,7 +320,7 @@
         )
         self.sock.setblocking(False)
         self._address = self.sock.getsockname()
-        if on:
+        if accepting:
             self.start()
 
     def _bind_socket(self, address: tuple[str, int]) -> socket.socket:
@@ -340,11 +340,11 @@
     def start(self) -> None:
         """Accept connections from now on.
 
-        If the address cannot be bound again after `pause`, binding is repeated until it succeeds. The first
+        If the address cannot be bound again after `stop`, binding is repeated until it succeeds. The first
         start raises `OSError` instead.
         """
         self.loop.deadlines.drop(self._listen_retry)
-        if not self.on and not self._inherited:
+        if not self.accepting and not self._inherited:
             try:
                 if self.sock.fileno() < 0:
                     self.sock = self._bind_socket(self.address)
@@ -358,23 +358,23 @@
                     self.loop.clock.now() + LISTEN_RETRY_MS, self.start
                 )
                 return
-        self.on = self._has_listened = True
+        self.accepting = self._has_listened = True
         self._update_registration()
 
-    def pause(self) -> None:
+    def stop(self) -> None:
         """Stop accepting, and close a socket of our own.
 
         Waiting callers are left to the other process that listens on the same socket or address. On a shared
         address (SO_REUSEPORT) a socket that stayed open would keep its part of the callers waiting.
         """
-        self.on = False
+        self.accepting = False
         self.loop.deadlines.drop(self._listen_retry)
         self._update_registration()
         if not self._inherited:
             self.sock.close()
 
     def _update_registration(self) -> None:
-        wanted = self.on and not self.suspended and self.sock.fileno() >= 0
+        wanted = self.accepting and not self.suspended and self.sock.fileno() >= 0
         if wanted and not self._registered:
             self.loop.selector.register(self.sock, READ, self.ready)
         elif not wanted and self._registered:
@@ -385,7 +385,7 @@
     def ready(self, mask: int) -> None:
         """Accept up to 64 of the waiting connections."""
         for _ in range(64):
-            if self.suspended or not self.on:
+            if self.suspended or not self.accepting:
                 return
             try:
                 sock, _ = self.sock.accept()
@@ -399,7 +399,7 @@
                     shortage = "no_descriptor" if error.errno in DESCRIPTOR_ERRNOS else "no_memory"
                     self.loop.counters.add(f"in.{shortage}")
                     self.make_room()
-                    self.rest()
+                    self.suspend()
                     return
                 continue  # an error of this one peer or its network: others may be waiting
             try:
@@ -408,10 +408,10 @@
                 sock.close()
                 continue
             if self._backlog_since is not None:
-                connection.queued = self.loop.clock.now() - self._backlog_since
+                connection.backlog_wait_ms = self.loop.clock.now() - self._backlog_since
             self.on_accept(connection)
 
-    def rest(self, ms: float = REST) -> None:
+    def suspend(self, ms: float = SUSPEND_MS) -> None:
         """Accept nothing for `ms`, leaving new connections in the backlog."""
         if not self.suspended:
             self.suspended = True
@@ -422,14 +422,14 @@
 
     def _resume(self) -> None:
         self.suspended = False
-        if self.on and not self.make_room():
-            self.rest()
+        if self.accepting and not self.make_room():
+            self.suspend()
             return
         self._update_registration()
 
     def close(self) -> None:
         """Close our descriptor; a socket that other processes hold as well goes on listening."""
-        self.pause()
+        self.stop()
         self.sock.close()
 
 
@@ -475,7 +475,7 @@
             self.counters.add(f"out.connect.{error}")
             raise
 
-    def once(self, after_turn: Callable[[], None], max_wait_ms: float = 1000.0) -> None:
+    def run_once(self, after_turn: Callable[[], None], max_wait_ms: float = 1000.0) -> None:
         """Wait at most `max_wait_ms` for sockets or a deadline, handle them, then call `after_turn`."""
         wait_ms = min(self.deadlines.next_at() - self.clock.now(), max_wait_ms)
         for key, mask in self.selector.select(
--- a/eiderpin/net/static_list.py
+++ b/eiderpin/net/static_list.py
@@ -6,24 +6,24 @@
 
 from eiderpin import interface as api
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.requests import Attempt, ServiceEntry
-from eiderpin.net.discovery import address
+from eiderpin.core.requests import Attempt, Endpoint
+from eiderpin.net.discovery import parse_address
 from eiderpin.net.workers import HttpWorkers
 
-Listed = list[tuple[api.WorkerEntry, object]]  # workers with their addresses
+ListedWorkers = list[tuple[api.WorkerEntry, object]]  # workers with their addresses
 
 STATES = {"in_service": api.WorkerState.IN_SERVICE, "draining": api.WorkerState.DRAINING}
 KEYS = ("name", "address", "state", "zone", "machine_type", "slots", "classes")
 
 
-def read_workers(value: Any, classes: list[str]) -> Listed:
+def read_workers(value: Any, classes: list[str]) -> ListedWorkers:
     """Parse the key `workers` of a configuration; `classes` are the names of the configured classes.
 
     Raises `ValueError` with the row, the key and what is expected there.
     """
     if not isinstance(value, list):
         raise ValueError("workers: a list is needed")
-    rows: Listed = []
+    rows: ListedWorkers = []
     seen: set[str] = set()
     for number, row in enumerate(value):
         where = f"workers[{number}]"
@@ -45,7 +45,7 @@
         ):
             raise ValueError(f"{where}.classes: {row_classes!r}; some of {', '.join(classes)} are expected")
         try:
-            host_port = address(row.get("address"))
+            host_port = parse_address(row.get("address"))
         except ValueError as error:
             raise ValueError(f"{where}.address: {error}; host:port is expected") from None
         seen.add(name)
@@ -67,9 +67,9 @@
     def __init__(self, core: Dispatcher, workers: HttpWorkers) -> None:
         self.core, self.workers = core, workers
 
-    def tell(self, rows: Listed) -> None:
+    def update_workers(self, rows: ListedWorkers) -> None:
         """Replace the workers. One that is no longer listed is gone and gets nothing new."""
-        self.core.list_told(self, api.ListKind.COMPLETE, rows)
+        self.core.apply_worker_list(self, api.ListKind.COMPLETE, rows)
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt to its worker."""
@@ -79,14 +79,14 @@
         """Ask the worker to drop an attempt."""
         self.workers.cancel(attempt)
 
-    def probe(self, entry: ServiceEntry) -> None:
+    def probe(self, endpoint: Endpoint) -> None:
         """Ask a worker for its load or health."""
-        self.workers.probe(entry)
+        self.workers.probe(endpoint)
 
-    def entry_changed(self, entry: ServiceEntry) -> None:
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
         """Note that the state or address of a worker has changed."""
-        self.workers.entry_changed(entry)
+        self.workers.endpoint_changed(endpoint)
 
-    def may_move(self, attempt: Attempt) -> bool:
+    def may_transfer(self, attempt: Attempt) -> bool:
         """Return whether the attempt can go to the peer process."""
-        return self.workers.may_move(attempt)
+        return self.workers.may_transfer(attempt)
--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -14,7 +14,7 @@
 from eiderpin import interface as api
 from eiderpin.core.deadlines import Deadline
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.core.requests import Attempt, ServiceEntry
+from eiderpin.core.requests import Attempt, Endpoint
 from eiderpin.net import http, reports
 from eiderpin.net.loop import ConnectError, Connection, Loop
 
@@ -46,11 +46,11 @@
 class WorkerConnection:
     """A connection to a worker. It carries one exchange at a time: an attempt, a cancel or a probe."""
 
-    __slots__ = ("workers", "entry", "address", "conn", "reader", "attempt", "payload", "timeout",
+    __slots__ = ("workers", "endpoint", "address", "conn", "reader", "attempt", "payload", "timeout",
                  "probe_at", "state", "idle_since", "idle_ms", "started_at")  # fmt: skip
 
-    def __init__(self, workers: HttpWorkers, entry: ServiceEntry, conn: Connection) -> None:
-        self.workers, self.entry, self.address, self.conn = workers, entry, entry.address, conn
+    def __init__(self, workers: HttpWorkers, endpoint: Endpoint, conn: Connection) -> None:
+        self.workers, self.endpoint, self.address, self.conn = workers, endpoint, endpoint.address, conn
         self.reader = http.ResponseReader()
         self.attempt: Attempt | None = None
         self.payload = b""
@@ -106,7 +106,7 @@
         A worker begins a job at the last byte of the request, so this job does not run.
         """
         attempt, core = self.attempt, self.workers.core
-        if self.state is ExchangeState.SENDING and attempt is not None and core.is_deserted(attempt.request):
+        if self.state is ExchangeState.SENDING and attempt is not None and core.all_waiters_left(attempt.request):
             self.close()
             core.ended(attempt, api.Outcome.NOT_SENT)
 
@@ -152,7 +152,7 @@
             ok = message.status == 200
             names = core.settings.report_names
             report = reports.parse_body(message.body, names) if ok and message.body else None
-            core.probed(self.entry, ok, core.clock.now() - self.probe_at, report)
+            core.probed(self.endpoint, ok, core.clock.now() - self.probe_at, report)
         elif attempt is not None:
             if message.status == 202:
                 attempt.accepted = True
@@ -180,7 +180,7 @@
 
     def on_end(self) -> None:
         """The worker has closed the connection: this completes a response without Content-Length."""
-        last = self.reader.at_end() if self.state is ExchangeState.AWAITING else None
+        last = self.reader.message_at_eof() if self.state is ExchangeState.AWAITING else None
         if last is not None:
             self.handle_response(last)
         else:
@@ -202,7 +202,7 @@
             outcome = api.Outcome.NOT_CONNECTED if never_sent else api.Outcome.RESET
             core.ended(attempt, outcome, stale=stale)
         elif self.probe_at is not None:
-            core.probed(self.entry, False, core.clock.now() - self.probe_at)
+            core.probed(self.endpoint, False, core.clock.now() - self.probe_at)
         self.close()
 
     def close(self) -> None:
@@ -228,21 +228,21 @@
 class HttpWorkers:
     """The link to the platform's HTTP workers: sends attempts, cancels and probes, takes call-backs.
 
-    `host` is sent as the Host header; `most` bounds the number of open connections.
+    `host` is sent as the Host header; `max_connections` bounds the number of open connections.
     """
 
-    def __init__(self, loop: Loop, core: Dispatcher, host: str, most: int) -> None:
+    def __init__(self, loop: Loop, core: Dispatcher, host: str, max_connections: int) -> None:
         self.loop, self.core = loop, core
         self.host = host
         self.probe_target = b"/_load" if core.settings.reports_in_probes else b"/ping"
-        self.most = most
+        self.max_connections = max_connections
         self.open: set[WorkerConnection] = set()
         self.idle: dict[str, list[WorkerConnection]] = {}
         self._idle_limit_ms, self._stale_at = math.inf, 0.0
         # Call-backs received while a ledger is being recovered, with their replies; None: handled at once.
-        self.early: list[tuple[Any, Callable[[int], None]]] | None = None
+        self.deferred_callbacks: list[tuple[Any, Callable[[int], None]]] | None = None
         # Handles a call-back for a request that is not known here.
-        self.not_ours: Callable[[dict[str, Any], Callable[[int], None]], None] = _acknowledge_unknown
+        self.on_unknown_callback: Callable[[dict[str, Any], Callable[[int], None]], None] = _acknowledge_unknown
 
     # -- the link, as the core uses it
 
@@ -252,7 +252,7 @@
         # job that must not run twice; a new connection costs far less.
         not_repeatable = self.core.classes[attempt.request.cls].repeat is not api.Repeat.FREE
         try:
-            connection = self._acquire(attempt.entry, SAFE_IDLE_MS if not_repeatable else self.idle_limit())
+            connection = self._acquire(attempt.endpoint, SAFE_IDLE_MS if not_repeatable else self.idle_limit())
         except ConnectError as error:
             # A shortage of this host says nothing about the worker; an address that cannot be reached does.
             self.core.ended(attempt, api.Outcome.NOT_SENT if error.is_local else api.Outcome.NOT_CONNECTED)
@@ -280,22 +280,22 @@
         if connection is None and not attempt.accepted:
             return  # nothing of it has been sent
         target = b"/jobs/" + attempt.request.wire_id.encode()
-        self._call(attempt.entry, http.request("DELETE", target, (f"Host: {self.host}",)), None)
+        self._call(attempt.endpoint, http.request("DELETE", target, (f"Host: {self.host}",)), None)
 
-    def probe(self, entry: ServiceEntry) -> None:
+    def probe(self, endpoint: Endpoint) -> None:
         """Ask a worker for its load or health; the core is told the result."""
         payload = http.request("GET", self.probe_target, (f"Host: {self.host}",))
-        if not self._call(entry, payload, self.core.clock.now()):
-            self.core.probed(entry, False, 0.0)
+        if not self._call(endpoint, payload, self.core.clock.now()):
+            self.core.probed(endpoint, False, 0.0)
 
-    def entry_changed(self, entry: ServiceEntry) -> None:
+    def endpoint_changed(self, endpoint: Endpoint) -> None:
         """Close idle connections to a worker that is gone or has another address now."""
-        gone = entry.listed.state is api.WorkerState.GONE
-        for connection in list(self.idle.get(entry.name, ())):
-            if gone or connection.address != entry.address:
+        gone = endpoint.listed.state is api.WorkerState.GONE
+        for connection in list(self.idle.get(endpoint.name, ())):
+            if gone or connection.address != endpoint.address:
                 connection.close()
 
-    def may_move(self, attempt: Attempt) -> bool:
+    def may_transfer(self, attempt: Attempt) -> bool:
         """Return whether the attempt is accepted and its end will come by call-back alone."""
         connection = attempt.handle
         tied = isinstance(connection, WorkerConnection) and connection.attempt is attempt
@@ -303,10 +303,10 @@
 
     # -- connections
 
-    def _call(self, entry: ServiceEntry, payload: bytes, probe_at: float | None) -> bool:
+    def _call(self, endpoint: Endpoint, payload: bytes, probe_at: float | None) -> bool:
         """Send a cancel, or a probe made at `probe_at`; return False if no connection could be had."""
         try:
-            connection = self._acquire(entry, self.idle_limit())
+            connection = self._acquire(endpoint, self.idle_limit())
         except ConnectError:
             return False
         connection.probe_at = probe_at
@@ -331,22 +331,22 @@
             self.loop.clock.now(),
         )
 
-    def _acquire(self, entry: ServiceEntry, max_idle_ms: float) -> WorkerConnection:
+    def _acquire(self, endpoint: Endpoint, max_idle_ms: float) -> WorkerConnection:
         """Return an idle connection, or a new one that is connecting. Raises `ConnectError`."""
-        idle = self.idle.get(entry.name, [])
+        idle = self.idle.get(endpoint.name, [])
         since = self.loop.clock.now() - max_idle_ms
         while idle and idle[-1].idle_since >= since:  # sorted: the last one became idle last
             connection = idle.pop()
-            if connection.address == entry.address and _is_usable(connection.conn.sock):
+            if connection.address == endpoint.address and _is_usable(connection.conn.sock):
                 return connection
             connection.close()
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             self._close_one_idle()
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             raise ConnectError(errno.EMFILE)
-        conn = self.loop.open_connection(entry.address)
+        conn = self.loop.open_connection(endpoint.address)
         self.core.counters.add("out.worker_connections")
-        connection = WorkerConnection(self, entry, conn)
+        connection = WorkerConnection(self, endpoint, conn)
         self.open.add(connection)
         return connection
 
@@ -359,8 +359,8 @@
 
     def keep_idle(self, connection: WorkerConnection) -> None:
         """Keep a connection for later exchanges, unless it is surplus or its worker has moved."""
-        idle = self.idle.setdefault(connection.entry.name, [])
-        if connection.address != connection.entry.address or len(idle) >= MAX_IDLE_PER_WORKER:
+        idle = self.idle.setdefault(connection.endpoint.name, [])
+        if connection.address != connection.endpoint.address or len(idle) >= MAX_IDLE_PER_WORKER:
             connection.close()
             return
         idle.append(connection)
@@ -372,7 +372,7 @@
     def forget(self, connection: WorkerConnection) -> None:
         """Drop a connection that has been closed."""
         self.open.discard(connection)
-        idle = self.idle.get(connection.entry.name, [])
+        idle = self.idle.get(connection.endpoint.name, [])
         if connection in idle:
             idle.remove(connection)
 
@@ -382,49 +382,49 @@
         """Return the load report in a call-back, if there is one."""
         return reports.parse_fields(callback.get("load"), self.core.settings.report_names)
 
-    def news(self, body: bytes, reply: Callable[[int], None]) -> None:
+    def handle_callback(self, body: bytes, reply: Callable[[int], None]) -> None:
         """Handle one call-back and reply with an HTTP status: 204, or 400 if it is malformed.
 
         Repeated and late ones are answered as well. The reply is deferred while a ledger is recovered.
         """
         try:
             callback: Any = orjson.loads(body)
-            if self.keep_early(callback, reply):
+            if self.defer_callback(callback, reply):
                 return
-            known = self.take_news(callback)
+            known = self.apply_callback(callback)
         except ValueError:
             reply(400)
             return
         self.reply_to_callback(callback, known, reply)
 
-    def keep_early(self, callback: Any, reply: Callable[[int], None]) -> bool:
+    def defer_callback(self, callback: Any, reply: Callable[[int], None]) -> bool:
         """Defer a call-back while a ledger is being recovered; return whether it was deferred."""
-        if self.early is None or len(self.early) >= MAX_DEFERRED_CALLBACKS:
+        if self.deferred_callbacks is None or len(self.deferred_callbacks) >= MAX_DEFERRED_CALLBACKS:
             return False
-        self.early.append((callback, reply))
+        self.deferred_callbacks.append((callback, reply))
         return True
 
-    def take_early(self) -> None:
+    def process_deferred_callbacks(self) -> None:
         """Handle the call-backs that were deferred while the ledger was recovered."""
-        early, self.early = self.early or [], None
-        for callback, reply in early:
+        deferred_callbacks, self.deferred_callbacks = self.deferred_callbacks or [], None
+        for callback, reply in deferred_callbacks:
             try:
-                known = self.take_news(callback)
+                known = self.apply_callback(callback)
             except ValueError:
                 reply(400)
                 continue
             self.reply_to_callback(callback, known, reply)
 
     def reply_to_callback(self, callback: Any, known: bool, reply: Callable[[int], None]) -> None:
-        """Count an applied call-back and answer it; one for an unknown request goes to `not_ours`."""
+        """Count an applied call-back and answer it; one for an unknown request goes to `on_unknown_callback`."""
         state = callback["state"]
         self.core.counters.add(f"in.news.{state}" if state in CALLBACK_OUTCOMES else "in.news.other")
         if known:
             reply(204)
         else:
-            self.not_ours(callback, reply)
+            self.on_unknown_callback(callback, reply)
 
-    def take_news(self, callback: Any) -> bool:
+    def apply_callback(self, callback: Any) -> bool:
         """Apply a call-back to its attempt; return whether its request is known here.
 
         Raises `ValueError` if it is malformed.
@@ -435,9 +435,9 @@
             raise ValueError("a call-back needs an id and a state")
         state, request = callback["state"], self.core.request_of(callback["id"])
         if request is None:
-            keeper, sender = self.core.keeper, str(callback.get("from"))
-            return keeper is not None and keeper.late(callback["id"], sender, state, _result_bytes(callback))
-        by_sender = [a for a in request.attempts if a.entry.name == callback.get("from")]
+            job_manager, sender = self.core.job_manager, str(callback.get("from"))
+            return job_manager is not None and job_manager.handle_late_report(callback["id"], sender, state, _result_bytes(callback))
+        by_sender = [a for a in request.attempts if a.endpoint.name == callback.get("from")]
         attempt = next((a for a in reversed(by_sender) if not a.ended), None)
         if attempt is None:
             if state == "done" and by_sender:
@@ -469,7 +469,7 @@
 
 
 CALLBACK_OUTCOMES = {
-    "started": api.Outcome.DONE,  # this and the next two are handled separately by `take_news`
+    "started": api.Outcome.DONE,  # this and the next two are handled separately by `apply_callback`
     "running": api.Outcome.DONE,
     "done": api.Outcome.DONE,
     "failed": api.Outcome.ERROR,
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -26,7 +26,7 @@
 MAX_TURNS = 2000  # of the loop in which an awaited condition must become true; each takes 2 ms at most
 
 
-class HandClock(Clock):
+class ManualClock(Clock):
     """A clock that stands still unless the test sets `at`, in ms."""
 
     def __init__(self) -> None:
@@ -67,15 +67,15 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.got = b""
+        self.received = b""
         self.ended = ""  # how it ended: "closed" or "reset" by the dispatcher, or "by us"
         sock.setblocking(False)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Send all of `data`."""
         self.sock.sendall(data)
 
-    def look(self) -> bytes:
+    def read_available(self) -> bytes:
         """Read what is available; return all that has been received so far."""
         with contextlib.suppress(BlockingIOError):
             while not self.ended:
@@ -84,14 +84,14 @@
                 except ConnectionResetError:
                     self.ended = "reset"
                     break
-                self.got += data
+                self.received += data
                 if not data:
                     self.ended = "closed"
-        return self.got
+        return self.received
 
     def close(self) -> None:
         """Close the connection in order."""
-        self.look()  # closing a socket with unread bytes would send a reset
+        self.read_available()  # closing a socket with unread bytes would send a reset
         self.ended = self.ended or "by us"
         self.sock.close()
 
@@ -102,7 +102,7 @@
 
     def requests(self) -> list[bytes]:
         """Return the requests received completely: a worker begins a job at its last byte."""
-        remaining, complete = self.look(), []
+        remaining, complete = self.read_available(), []
         while b"\r\n\r\n" in remaining:
             head, _, body = remaining.partition(b"\r\n\r\n")
             length = 0
@@ -148,13 +148,13 @@
         self.sock.close()
 
 
-def http(status: int, *headers: str, body: bytes = b"") -> bytes:
+def http_response(status: int, *headers: str, body: bytes = b"") -> bytes:
     """Return an HTTP response, as of a worker or of discovery."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def job(cls: str, request_id: str, wait: int = 5000, body: bytes = b"") -> bytes:
+def job_request(cls: str, request_id: str, wait: int = 5000, body: bytes = b"") -> bytes:
     """Return the HTTP request of a client for a job of this class; `wait` is its deadline in ms."""
     head = (
         f"POST /{cls} HTTP/1.1\r\nReq-Id: {request_id}\r\nReq-Deadline-Ms: {wait}\r\n"
@@ -163,13 +163,13 @@
     return head.encode() + b"\r\n\r\n" + body
 
 
-def told(request_id: str, worker: str, state: str, **more: Any) -> bytes:
+def callback_request(request_id: str, worker: str, state: str, **more: Any) -> bytes:
     """Return the HTTP request of a worker's call-back about a job."""
     body = json.dumps({"id": request_id, "from": worker, "state": state, **more}).encode()
     return b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-class Stage:
+class Harness:
     """A dispatcher with its clock, its workers and its clients, all run by the test.
 
     Args:
@@ -182,12 +182,12 @@
     def __init__(
         self, workers: int = 2, gearman: bool = False, settings: dict[str, Any] | None = None, **config: Any
     ) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.selector = ControlledSelector()
         self.workers = [Worker(f"w{i}") for i in range(workers)]
         self.clients: list[Peer] = []
-        self.wall_ahead = 0.0  # ms by which the wall clock is ahead of `clock`
-        self._wall = mock.patch.object(wall_clock, "read_wall", lambda: self.clock.at + self.wall_ahead)
+        self.wall_clock_ahead_ms = 0.0  # ms by which the wall clock is ahead of `clock`
+        self._wall = mock.patch.object(wall_clock, "read_wall", lambda: self.clock.at + self.wall_clock_ahead_ms)
         self._wall.start()
         document: dict[str, Any] = {"name": "t1", "listen": "127.0.0.1:0", "seed": "1f",
                                     "settings": {**SETTINGS, **(settings or {})}}  # fmt: skip
@@ -217,7 +217,7 @@
             worker.close()
         for connection in self.loop.connections.all():
             connection.close()
-        for front in (self.service.edge, self.service.gearman):
+        for front in (self.service.http_front, self.service.gearman):
             if front is not None:
                 front.listener.sock.close()
         self.selector.close()
@@ -229,12 +229,12 @@
         self.clients.append(peer)
         return peer
 
-    def turn(self, times: int = 1, wait: float = 2.0) -> None:
+    def run_turns(self, times: int = 1, wait: float = 2.0) -> None:
         """Run the loop for so many turns; each waits at most `wait` ms for sockets."""
         for _ in range(times):
-            self.loop.once(self.service.after_turn, wait)
+            self.loop.run_once(self.service.after_turn, wait)
 
-    def until(self, condition: Callable[[], Any], text: str) -> Any:
+    def run_until(self, condition: Callable[[], Any], text: str) -> Any:
         """Run the loop until `condition` is true, and return its value; the clock stands still.
 
         `text` says what is awaited, for the message of the `AssertionError` that is raised otherwise.
@@ -242,23 +242,23 @@
         for _ in range(MAX_TURNS):
             if result := condition():
                 return result
-            self.turn()
+            self.run_turns()
         raise AssertionError(f"waited in vain for {text}")
 
-    def pass_time(self, ms: float) -> None:
+    def advance_clock(self, ms: float) -> None:
         """Move the clock by `ms`, from deadline to deadline, with a turn of the loop at each."""
         end_at = self.clock.at + ms
         while self.loop.deadlines.next_at() <= end_at:
             self.clock.at = max(self.clock.at, self.loop.deadlines.next_at())
-            self.turn(wait=0.0)
+            self.run_turns(wait=0.0)
         self.clock.at = end_at
-        self.turn(wait=0.0)
+        self.run_turns(wait=0.0)
 
-    def hold(self, predicate: Callable[[Connection], bool]) -> None:
-        """Withhold the events of these connections from the loop until `let` is called."""
+    def hold_back(self, predicate: Callable[[Connection], bool]) -> None:
+        """Withhold the events of these connections from the loop until `release_held` is called."""
         self.selector.is_held = lambda owner: isinstance(owner, Connection) and predicate(owner)
 
-    def let(self) -> None:
+    def release_held(self) -> None:
         """Withhold no events any more."""
         self.selector.is_held = lambda owner: False
 
@@ -270,21 +270,21 @@
         """Return the ids of the jobs that have begun, worker by worker."""
         return [request_id for worker in self.workers for request_id in worker.begun()]
 
-    def counted(self, name: str) -> int:
+    def counter_value(self, name: str) -> int:
         """Return the value of a counter of the dispatcher."""
         return self.service.counters.counts[name]
 
 
 @contextlib.contextmanager
-def staged(workers: int = 2, **more: Any) -> Iterator[Stage]:
-    """A `Stage` that is closed in the end; see there for the arguments."""
-    stage = Stage(workers, **more)
+def running_harness(workers: int = 2, **more: Any) -> Iterator[Harness]:
+    """A `Harness` that is closed in the end; see there for the arguments."""
+    harness = Harness(workers, **more)
     try:
-        yield stage
+        yield harness
     finally:
-        stage.close()
+        harness.close()
 
 
-def to_worker(conn: Connection) -> bool:
-    """Return whether the connection is one to a worker; for `Stage.hold` and `first`."""
+def leads_to_worker(conn: Connection) -> bool:
+    """Return whether the connection is one to a worker; for `Harness.hold_back` and `first`."""
     return getattr(conn.on_data, "__self__", None).__class__.__name__ == "WorkerConnection"
--- a/tests/test_discovery_ends.py
+++ b/tests/test_discovery_ends.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from eiderpin.net import discovery
-from tests.crossing import Peer, Stage, Worker, http, job, staged
+from tests.crossing import Peer, Harness, Worker, http_response, job_request, running_harness
 
 KNOWN_WITHIN_MS = 6000.0  # required by the operators of the platform
 STEP_MS = 20.0  # between two turns of the agent
@@ -62,7 +62,7 @@
                     body = self.answer(call.split(b" ", 2)[1].decode())
                     if body is None:
                         break
-                    peer.say(http(200, body=body))
+                    peer.send(http_response(200, body=body))
                 else:
                     self.failure(peer)
                 self.calls += 1
@@ -71,7 +71,7 @@
 
 def trickle(peer: Peer) -> None:
     """Send the beginning of an answer only."""
-    peer.say(b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{")
+    peer.send(b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{")
 
 
 def cut_off(peer: Peer) -> None:
@@ -83,38 +83,38 @@
 def send_outdated(peer: Peer) -> None:
     """Answer with an older generation than was sent before."""
     document: dict[str, Any] = {"generation": 1, "reset": False, "instances": []}
-    peer.say(http(200, body=json.dumps(document).encode()))
+    peer.send(http_response(200, body=json.dumps(document).encode()))
 
 
 FAILURES: dict[str, Callable[[Peer], None]] = {
     "silent": lambda peer: None,
-    "refused": lambda peer: peer.say(http(503)),
-    "not understood": lambda peer: peer.say(http(400)),
+    "refused": lambda peer: peer.send(http_response(503)),
+    "not understood": lambda peer: peer.send(http_response(400)),
     "closed": Peer.close,
     "reset": Peer.reset,
     "cut": cut_off,
     "trickled": trickle,
-    "no JSON": lambda peer: peer.say(http(200, body=b"<html>")),
-    "no list": lambda peer: peer.say(http(200, body=b"[1]")),
+    "no JSON": lambda peer: peer.send(http_response(200, body=b"<html>")),
+    "no list": lambda peer: peer.send(http_response(200, body=b"[1]")),
     "older": send_outdated,
 }
 
 
 @contextmanager
-def watched_agent(**settings: Any) -> Iterator[tuple[Stage, Agent]]:
+def watched_agent(**settings: Any) -> Iterator[tuple[Harness, Agent]]:
     """A dispatcher that knows the list of two workers and has a watch open, and its agent."""
     agent = Agent()
-    with staged(discovery=agent.address, settings=settings) as stage:
-        for worker in stage.workers:
+    with running_harness(discovery=agent.address, settings=settings) as harness:
+        for worker in harness.workers:
             agent.list_worker(worker)
-        run_agent(stage, agent, until=lambda: len(stage.core.entries) == 2)
-        run_agent(stage, agent, ms=100)
-        yield stage, agent
+        run_agent(harness, agent, until=lambda: len(harness.core.endpoints) == 2)
+        run_agent(harness, agent, ms=100)
+        yield harness, agent
     agent.close()
 
 
 def run_agent(
-    stage: Stage, agent: Agent, ms: float = 20_000, until: Callable[[], bool] = lambda: False
+    harness: Harness, agent: Agent, ms: float = 20_000, until: Callable[[], bool] = lambda: False
 ) -> float:
     """Move the clock by `ms`, or until the condition is true, with the agent serving at each step.
 
@@ -123,15 +123,15 @@
     passed = 0.0
     while passed < ms and not until():
         agent.serve()
-        stage.turn(wait=0.0)
-        stage.pass_time(STEP_MS)
+        harness.run_turns(wait=0.0)
+        harness.advance_clock(STEP_MS)
         passed += STEP_MS
     return passed
 
 
-def is_draining(stage: Stage) -> bool:
+def is_draining(harness: Harness) -> bool:
     """Return whether the dispatcher knows that the worker w0 has left the service."""
-    return not stage.core.entries["w0"].in_service
+    return not harness.core.endpoints["w0"].in_service
 
 
 class FailedCalls(unittest.TestCase):
@@ -144,15 +144,15 @@
         ):
             with (
                 self.subTest(on_request=bool(settings), failure=name, outage_ms=outage_ms),
-                watched_agent(**settings) as (stage, agent),
+                watched_agent(**settings) as (harness, agent),
             ):
                 agent.failure = failure
-                run_agent(stage, agent, ms=outage_ms)
-                agent.list_worker(stage.workers[0], "Terminating")
+                run_agent(harness, agent, ms=outage_ms)
+                agent.list_worker(harness.workers[0], "Terminating")
                 before = agent.calls
-                run_agent(stage, agent, until=lambda a=agent, n=before: a.calls > n)
+                run_agent(harness, agent, until=lambda a=agent, n=before: a.calls > n)
                 agent.failure = None
-                took = run_agent(stage, agent, until=lambda s=stage: is_draining(s))
+                took = run_agent(harness, agent, until=lambda s=harness: is_draining(s))
                 self.assertLess(took, KNOWN_WITHIN_MS - 200)
 
     def test_a_change_is_known_within_the_limit_though_a_watch_gets_no_answer(self) -> None:
@@ -164,17 +164,17 @@
         ):
             with (
                 self.subTest(on_request=bool(settings), age_ms=age_ms, second_fails=second_fails),
-                watched_agent(**settings) as (stage, agent),
+                watched_agent(**settings) as (harness, agent),
             ):
-                agent.list_worker(stage.workers[1])  # a new watch begins
-                run_agent(stage, agent, ms=age_ms)
+                agent.list_worker(harness.workers[1])  # a new watch begins
+                run_agent(harness, agent, ms=age_ms)
                 calls = agent.calls
                 agent.failure = lambda peer: None
-                agent.list_worker(stage.workers[0], "Terminating")
-                took = run_agent(stage, agent, until=lambda a=agent, n=calls + second_fails: a.calls > n)
+                agent.list_worker(harness.workers[0], "Terminating")
+                took = run_agent(harness, agent, until=lambda a=agent, n=calls + second_fails: a.calls > n)
                 agent.failure = None
                 took = 0.0 if second_fails and settings else took
-                took += run_agent(stage, agent, until=lambda s=stage: is_draining(s))
+                took += run_agent(harness, agent, until=lambda s=harness: is_draining(s))
                 self.assertLess(took, KNOWN_WITHIN_MS - 200)
 
     def test_each_failure_is_counted_by_kind_and_calls_are_not_repeated_too_often(self) -> None:
@@ -183,16 +183,16 @@
                  "reset": "closed", "cut": "closed", "trickled": "silent", "no JSON": "bad", "no list": "bad",
                  "older": "older"}  # fmt: skip
         for name, failure in FAILURES.items():
-            with self.subTest(failure=name), watched_agent() as (stage, agent):
-                before, known = agent.calls, len(stage.core.entries)
-                agent.list_worker(stage.workers[1])  # the open watch is answered, the calls after it fail
-                run_agent(stage, agent, ms=20)
+            with self.subTest(failure=name), watched_agent() as (harness, agent):
+                before, known = agent.calls, len(harness.core.endpoints)
+                agent.list_worker(harness.workers[1])  # the open watch is answered, the calls after it fail
+                run_agent(harness, agent, ms=20)
                 agent.failure = failure
-                run_agent(stage, agent, ms=3000)
-                self.assertGreaterEqual(stage.counted(f"in.discovery_{kinds[name]}"), 1)
+                run_agent(harness, agent, ms=3000)
+                self.assertGreaterEqual(harness.counter_value(f"in.discovery_{kinds[name]}"), 1)
                 self.assertLess(agent.calls - before, 3000 / discovery.RETRY_MS + 2)
-                self.assertEqual(len(stage.core.entries), known)
-                self.assertLessEqual(len(stage.loop.connections), 1)
+                self.assertEqual(len(harness.core.endpoints), known)
+                self.assertLessEqual(len(harness.loop.connections), 1)
 
 
 class LogEvents(unittest.TestCase):
@@ -202,17 +202,17 @@
         for settings in ({}, ON_REQUEST):
             with (
                 self.subTest(on_request=bool(settings)),
-                watched_agent(**settings) as (stage, agent),
+                watched_agent(**settings) as (harness, agent),
                 self.assertLogs("eiderpin", "INFO") as logged,
             ):
                 agent.failure = FAILURES["silent"]
-                agent.list_worker(stage.workers[1])
+                agent.list_worker(harness.workers[1])
                 known = agent.generation - 1
-                run_agent(stage, agent, ms=9000)
+                run_agent(harness, agent, ms=9000)
                 agent.failure = None
-                watch = stage.service.discovery
+                watch = harness.service.discovery
                 assert watch is not None
-                run_agent(stage, agent, until=lambda w=watch: w.failures == 0)
+                run_agent(harness, agent, until=lambda w=watch: w.failures == 0)
                 began, ended = logged.records
                 self.assertEqual(began.getMessage(), "discovery does not tell the list")
                 self.assertEqual((began.__dict__["reason"], began.levelname), ("silent", "WARNING"))
@@ -220,40 +220,40 @@
                 self.assertEqual(ended.getMessage(), "discovery tells the list")
                 self.assertGreaterEqual(ended.__dict__["failed_calls"], 2)
                 self.assertGreater(ended.__dict__["list_age_ms"], 6000)
-                self.assertLess(watch.list_age, 100)
+                self.assertLess(watch.list_age_ms, 100)
 
 
 class OutdatedLists(unittest.TestCase):
     def test_an_answer_with_an_older_generation_brings_no_worker_back(self) -> None:
         """Applied, the outdated answer would put a draining worker back in service."""
-        with watched_agent() as (stage, agent):
-            agent.list_worker(stage.workers[0], "Terminating")
-            run_agent(stage, agent, until=lambda: is_draining(stage))
+        with watched_agent() as (harness, agent):
+            agent.list_worker(harness.workers[0], "Terminating")
+            run_agent(harness, agent, until=lambda: is_draining(harness))
             newest, agent.generation = agent.generation, 1
-            agent.list_worker(stage.workers[0], "Ready")
+            agent.list_worker(harness.workers[0], "Ready")
             self.assertLess(agent.generation, newest)
-            agent.failure = lambda peer: peer.say(http(200, body=agent.answer("/catalog/members") or b""))
-            run_agent(stage, agent, ms=discovery.OUTDATED_REJECT_MS - 600)
-            self.assertTrue(is_draining(stage))
+            agent.failure = lambda peer: peer.send(http_response(200, body=agent.answer("/catalog/members") or b""))
+            run_agent(harness, agent, ms=discovery.OUTDATED_REJECT_MS - 600)
+            self.assertTrue(is_draining(harness))
             agent.failure, agent.generation = None, newest
-            agent.list_worker(stage.workers[1], "Terminating")
-            took = run_agent(stage, agent, until=lambda: not stage.core.entries["w1"].in_service)
+            agent.list_worker(harness.workers[1], "Terminating")
+            took = run_agent(harness, agent, until=lambda: not harness.core.endpoints["w1"].in_service)
             self.assertLess(took, 1000)
-            self.assertTrue(is_draining(stage))
+            self.assertTrue(is_draining(harness))
 
     def test_a_restarted_discovery_with_lower_generations_is_accepted_in_time(self) -> None:
         """After a restart discovery counts from 1 again: its lists are not outdated."""
-        with watched_agent() as (stage, agent):
+        with watched_agent() as (harness, agent):
             for _ in range(20):
-                agent.list_worker(stage.workers[1])
-            run_agent(stage, agent, ms=100)
+                agent.list_worker(harness.workers[1])
+            run_agent(harness, agent, ms=100)
             agent.generation, agent.changed_in = 1, {}
-            agent.list_worker(stage.workers[1])
-            agent.list_worker(stage.workers[0], "Terminating")
+            agent.list_worker(harness.workers[1])
+            agent.list_worker(harness.workers[0], "Terminating")
             for peer in agent.peers:
                 if not peer.ended:
                     peer.close()
-            self.assertLess(run_agent(stage, agent, until=lambda: is_draining(stage)), KNOWN_WITHIN_MS - 200)
+            self.assertLess(run_agent(harness, agent, until=lambda: is_draining(harness)), KNOWN_WITHIN_MS - 200)
 
 
 class Lists(unittest.TestCase):
@@ -261,65 +261,65 @@
         """Lists may be indented, and grow with the fleet."""
         agent = Agent()
         agent.indent = 8
-        with staged(workers=0, discovery=agent.address) as stage:
+        with running_harness(workers=0, discovery=agent.address) as harness:
             many = [Worker(f"worker-with-a-rather-long-name-{i}") for i in range(3)]
             for i in range(400):
                 agent.list_worker(many[i % 3])
                 agent.rows[f"w{i}"] = {**agent.rows[many[i % 3].name], "instanceId": f"w{i}"}
                 agent.changed_in[f"w{i}"] = agent.generation
             self.assertGreater(len(agent.answer("/catalog/members") or b""), 100_000)
-            run_agent(stage, agent, ms=500)
-            self.assertEqual(len(stage.core.entries), 403)
+            run_agent(harness, agent, ms=500)
+            self.assertEqual(len(harness.core.endpoints), 403)
             for worker in many:
                 worker.close()
         agent.close()
 
     def test_an_answer_without_content_length_ends_with_its_connection(self) -> None:
         """Such an answer is complete when discovery closes the connection, and must not count as cut off."""
-        with watched_agent() as (stage, agent):
-            agent.list_worker(stage.workers[0], "Terminating")
+        with watched_agent() as (harness, agent):
+            agent.list_worker(harness.workers[0], "Terminating")
 
             def answer_without_length(peer: Peer) -> None:
-                peer.say(b"HTTP/1.1 200 X\r\n\r\n" + (agent.answer("/?after=1&wait_ms=0") or b""))
+                peer.send(b"HTTP/1.1 200 X\r\n\r\n" + (agent.answer("/?after=1&wait_ms=0") or b""))
                 peer.close()
 
             agent.failure = answer_without_length
-            self.assertLess(run_agent(stage, agent, until=lambda: is_draining(stage)), 1000)
+            self.assertLess(run_agent(harness, agent, until=lambda: is_draining(harness)), 1000)
 
     def test_a_change_of_address_during_an_answer_from_the_old_one(self) -> None:
         """A reload races an answer of the old address, in both orders: the list of the new address counts."""
         for answer_first in (True, False):
-            with self.subTest(answer_first=answer_first), watched_agent() as (stage, agent):
+            with self.subTest(answer_first=answer_first), watched_agent() as (harness, agent):
                 other = Agent()
-                other.list_worker(stage.workers[0], "Terminating")
-                other.list_worker(stage.workers[1])
-                agent.list_worker(stage.workers[0], "Ready")
+                other.list_worker(harness.workers[0], "Terminating")
+                other.list_worker(harness.workers[1])
+                agent.list_worker(harness.workers[0], "Ready")
                 agent.serve()  # the answer of the old address is on its way
                 if answer_first:
-                    stage.turn(5)
-                assert stage.service.discovery is not None
+                    harness.run_turns(5)
+                assert harness.service.discovery is not None
                 host, port = other.address.split(":")
-                stage.service.discovery.move((host, int(port)))
-                took = run_agent(stage, other, until=lambda s=stage: is_draining(s))
+                harness.service.discovery.change_address((host, int(port)))
+                took = run_agent(harness, other, until=lambda s=harness: is_draining(s))
                 self.assertLess(took, 4000)
-                agent.list_worker(stage.workers[0], "Ready")
+                agent.list_worker(harness.workers[0], "Ready")
                 agent.serve()
-                run_agent(stage, other, ms=2000)
-                self.assertTrue(is_draining(stage))
+                run_agent(harness, other, ms=2000)
+                self.assertTrue(is_draining(harness))
                 other.close()
 
     def test_calls_without_a_descriptor_are_repeated_at_intervals(self) -> None:
         """While no connection can be opened, the retries must not pile up deadlines; then it recovers."""
-        with watched_agent() as (stage, agent):
+        with watched_agent() as (harness, agent):
             for peer in agent.peers:
                 if not peer.ended:
                     peer.close()
-            agent.list_worker(stage.workers[0], "Terminating")
-            with mock.patch.object(type(stage.loop), "connect", lambda self, address: None):
-                passed = run_agent(stage, agent, ms=2000)
+            agent.list_worker(harness.workers[0], "Terminating")
+            with mock.patch.object(type(harness.loop), "connect", lambda self, address: None):
+                passed = run_agent(harness, agent, ms=2000)
                 self.assertEqual(passed, 2000)
-                self.assertLess(len(stage.loop.deadlines), 50)
-            self.assertLess(run_agent(stage, agent, until=lambda: is_draining(stage)), 1000)
+                self.assertLess(len(harness.loop.deadlines), 50)
+            self.assertLess(run_agent(harness, agent, until=lambda: is_draining(harness)), 1000)
 
 
 class DescriptorLimit(unittest.TestCase):
@@ -327,27 +327,27 @@
         """Idle clients must not use up the descriptors that discovery, workers and call-backs need, nor keep
         out a new client."""
         agent = Agent()
-        with staged(discovery=agent.address, limits={"sockets": 96}) as stage:
-            agent.list_worker(stage.workers[0])
-            run_agent(stage, agent, until=lambda: len(stage.core.entries) == 1)
+        with running_harness(discovery=agent.address, limits={"sockets": 96}) as harness:
+            agent.list_worker(harness.workers[0])
+            run_agent(harness, agent, until=lambda: len(harness.core.endpoints) == 1)
             agent.failure = Peer.close
             for peer in agent.peers:
                 if not peer.ended:
                     peer.close()
-            idle = [stage.client() for _ in range(200)]
+            idle = [harness.client() for _ in range(200)]
             for client in idle[:40]:
-                client.say(b"GET /_health HTTP/1.1\r\n\r\n")
-            run_agent(stage, agent, ms=1000)
-            room = stage.service.edge.most + stage.service.edge.extra
-            self.assertLessEqual(len(stage.service.edge.connections), room)
-            self.assertLessEqual(len(stage.loop.connections), 96 - 16 + 1)
-            client = stage.client()
-            client.say(job("result-post", "a"))
-            run_agent(stage, agent, until=lambda: bool(stage.begun()), ms=5000)
-            self.assertEqual(stage.begun(), ["a"])
+                client.send(b"GET /_health HTTP/1.1\r\n\r\n")
+            run_agent(harness, agent, ms=1000)
+            room = harness.service.http_front.max_connections + harness.service.http_front.extra_connections
+            self.assertLessEqual(len(harness.service.http_front.connections), room)
+            self.assertLessEqual(len(harness.loop.connections), 96 - 16 + 1)
+            client = harness.client()
+            client.send(job_request("result-post", "a"))
+            run_agent(harness, agent, until=lambda: bool(harness.begun()), ms=5000)
+            self.assertEqual(harness.begun(), ["a"])
             agent.failure = None
-            agent.list_worker(stage.workers[0], "Terminating")
-            self.assertLess(run_agent(stage, agent, until=lambda: is_draining(stage)), 1000)
+            agent.list_worker(harness.workers[0], "Terminating")
+            self.assertLess(run_agent(harness, agent, until=lambda: is_draining(harness)), 1000)
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_discovery.py
+++ b/tests/test_fleet_discovery.py
@@ -19,7 +19,7 @@
 from eiderpin.core.requests import Request
 from eiderpin.net.discovery import WATCH_WAIT_MS, Discovery
 from eiderpin.net.loop import Loop
-from tests.test_core import Client, HandClock, Link
+from tests.test_core import Client, ManualClock, Link
 
 OLD_GENERATION, NEW_GENERATION = 7, 8  # of the stored list, and of the service's list
 ROWS = {
@@ -96,7 +96,7 @@
     def __init__(
         self, dispatchers: int, calls_per_s: float, on_request: bool = True, known: Any = KNOWN
     ) -> None:
-        self.clock, self.deadlines = HandClock(), Deadlines()
+        self.clock, self.deadlines = ManualClock(), Deadlines()
         self.service = ListService(self, calls_per_s)
         self.cores: list[core.Dispatcher] = []
         self.watches: list[Discovery] = []
@@ -126,7 +126,7 @@
 
     def count_with_new_worker(self) -> int:
         """Return how many dispatchers know the worker that only the new list has."""
-        return sum("w2" in c.entries for c in self.cores)
+        return sum("w2" in c.endpoints for c in self.cores)
 
 
 class ManyDispatchers(unittest.TestCase):
@@ -183,7 +183,7 @@
         fleet = Fleet(1, calls_per_s=100.0, known=None)
         fleet.run(200)
         self.assertEqual([t for _, t in fleet.service.calls][0], b"/catalog/members")
-        self.assertEqual(set(fleet.cores[0].entries), {"w1", "w2"})
+        self.assertEqual(set(fleet.cores[0].endpoints), {"w1", "w2"})
 
     def test_the_stored_list_is_used_after_a_call_without_answer_and_not_before(self) -> None:
         """Its workers may be gone, and changes since then must be known: so nothing is sent before discovery
@@ -192,11 +192,11 @@
         fleet.service.silent = True
         dispatcher = fleet.cores[0]
         dispatcher.submit(Request("look", "j1", b"/look", b"", deadline=fleet.clock.now() + 3000), Client())
-        link = cast(Link, dispatcher.entries["w1"].link)
+        link = cast(Link, dispatcher.endpoints["w1"].link)
         fleet.run(300)
         self.assertEqual(link.sent, [])
         fleet.run(200)
-        self.assertEqual([s.entry.name for s in link.sent], ["w1"])
+        self.assertEqual([s.endpoint.name for s in link.sent], ["w1"])
 
     def test_the_watch_begins_at_once_where_lists_are_pushed(self) -> None:
         """Where lists are pushed by a local agent, first calls need no spreading."""
--- a/tests/test_stored_list.py
+++ b/tests/test_stored_list.py
@@ -20,7 +20,7 @@
 import pytest
 
 from eiderpin import interface as api
-from tests.crossing import Peer, Stage, Worker, job
+from tests.crossing import Peer, Harness, Worker, job_request
 from tests.test_discovery_ends import FAILURES, Agent, run_agent
 
 INSTANCES = 200
@@ -51,33 +51,33 @@
     known = {"generation": agent.generation, "reset": True, "instances": rows}
     agent.list_worker(workers[0], "Terminating")
     agent.failure = failure
-    stage = Stage(0, discovery=agent.address, settings=settings, known=known)
-    stage.workers = workers
+    harness = Harness(0, discovery=agent.address, settings=settings, known=known)
+    harness.workers = workers
     try:
-        yield RestartedProcess(stage, agent)
+        yield RestartedProcess(harness, agent)
     finally:
-        stage.close()
+        harness.close()
         agent.close()
 
 
 class RestartedProcess:
     """The process, its discovery agent, and clients that keep sending requests."""
 
-    def __init__(self, stage: Stage, agent: Agent) -> None:
-        self.stage, self.agent = stage, agent
+    def __init__(self, harness: Harness, agent: Agent) -> None:
+        self.harness, self.agent = harness, agent
         self.request_count = 0
 
     def serve(self, ms: float) -> None:
         """Move the clock by `ms`, with a request every REQUEST_INTERVAL_MS."""
-        end_at = self.stage.clock.at + ms
-        while self.stage.clock.at < end_at:
-            self.stage.client().say(job("time-lookup", f"r{self.request_count}", wait=7000))
+        end_at = self.harness.clock.at + ms
+        while self.harness.clock.at < end_at:
+            self.harness.client().send(job_request("time-lookup", f"r{self.request_count}", wait=7000))
             self.request_count += 1
-            run_agent(self.stage, self.agent, ms=REQUEST_INTERVAL_MS)
+            run_agent(self.harness, self.agent, ms=REQUEST_INTERVAL_MS)
 
     def jobs_begun_at(self, worker: int) -> list[str]:
         """Return the ids of the jobs that have begun at the worker of this number."""
-        return self.stage.workers[worker].begun()
+        return self.harness.workers[worker].begun()
 
 
 def check_nothing_goes_to_the_removed_worker(process: RestartedProcess, outage_ms: float) -> None:
@@ -129,10 +129,10 @@
 def test_no_request_goes_to_a_removed_worker_while_an_agent_is_slow_to_answer(outage_ms: float) -> None:
     """Lists are pushed, and the local agent takes up to 600 ms to answer the first call."""
     with restarted_process(PUSHED, FAILURES["silent"]) as process:
-        run_agent(process.stage, process.agent, ms=20)
+        run_agent(process.harness, process.agent, ms=20)
         for number in range(8):
-            process.stage.client().say(job("time-lookup", f"r{number}", wait=7000))
-        run_agent(process.stage, process.agent, ms=outage_ms)
+            process.harness.client().send(job_request("time-lookup", f"r{number}", wait=7000))
+        run_agent(process.harness, process.agent, ms=outage_ms)
         assert process.jobs_begun_at(0) == []
 
 
@@ -141,7 +141,7 @@
     with restarted_process(LAST_TO_ASK, None) as process:
         process.serve(1000.0)
         assert (process.jobs_begun_at(0), process.jobs_begun_at(1)) == ([], [])
-        run_agent(process.stage, process.agent, ms=1000)  # no further requests
+        run_agent(process.harness, process.agent, ms=1000)  # no further requests
         assert process.jobs_begun_at(0) == []
         assert process.jobs_begun_at(1)
 
@@ -166,9 +166,9 @@
 def test_a_worker_of_another_source_does_not_replace_the_first_call_to_discovery() -> None:
     """A list from another source was taken for discovery's answer, and discovery was never called."""
     with restarted_process(LAST_TO_ASK, None) as process:
-        core, link = process.stage.core, process.stage.service.workers
-        other = replace(core.entries["w1"].listed, name="w2")
-        core.list_told(link, api.ListKind.CHANGES, [(other, process.stage.workers[1].address)])
+        core, link = process.harness.core, process.harness.service.workers
+        other = replace(core.endpoints["w1"].listed, name="w2")
+        core.apply_worker_list(link, api.ListKind.CHANGES, [(other, process.harness.workers[1].address)])
         process.serve(KNOWN_WITHIN_MS)
-        assert not core.entries["w0"].in_service
+        assert not core.endpoints["w0"].in_service
         assert process.jobs_begun_at(0) == []
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -22,7 +22,7 @@
 from unittest import mock
 
 from eiderpin.net import loop as loops
-from tests.crossing import Peer, Stage, http, job, staged, to_worker, told
+from tests.crossing import Peer, Harness, http_response, job_request, running_harness, leads_to_worker, callback_request
 from tests.standins import ROOT, HttpWorker, http_call, running, wait_for
 
 CLASSES = ("time-lookup", "result-post")
@@ -40,8 +40,8 @@
 class Faults:
     """Makes calls on the dispatcher's own sockets fail. `calls` counts all calls on them by name."""
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage = stage
+    def __init__(self, harness: Harness) -> None:
+        self.harness = harness
         self.calls: Counter[str] = Counter()
         self.failing: dict[
             str, Callable[[socket.socket], int]
@@ -65,12 +65,12 @@
 
     def connection_of(self, sock: socket.socket) -> Any:
         """Return the dispatcher's connection on this socket, or None."""
-        return next((c for c in self.stage.loop.connections.all() if c.sock is sock), None)
+        return next((c for c in self.harness.loop.connections.all() if c.sock is sock), None)
 
     def is_of_dispatcher(self, call: str, sock: socket.socket) -> bool:
         """Return whether the dispatcher, and not one of its peers, makes this call on the socket."""
         if call == "accept":
-            return sock is self.stage.service.edge.listener.sock
+            return sock is self.harness.service.http_front.listener.sock
         return call == "connect_ex" or self.connection_of(sock) is not None
 
     def wrap(self, call: str, original: Callable[..., Any]) -> Callable[..., Any]:
@@ -102,42 +102,42 @@
 
 
 @contextlib.contextmanager
-def harness_with_faults(workers: int = 2, **more: Any) -> Iterator[tuple[Stage, Faults]]:
-    """A harness as of `staged`, and the faults that are installed under its dispatcher."""
-    with staged(workers, **more) as stage:
-        faults = Faults(stage)
+def harness_with_faults(workers: int = 2, **more: Any) -> Iterator[tuple[Harness, Faults]]:
+    """A harness as of `running_harness`, and the faults that are installed under its dispatcher."""
+    with running_harness(workers, **more) as harness:
+        faults = Faults(harness)
         with faults.installed():
-            yield stage, faults
+            yield harness, faults
 
 
 def leads_to_client(conn: Any) -> bool:
     """Return whether the connection is one to a client."""
-    return not to_worker(conn)
+    return not leads_to_worker(conn)
 
 
-def submit_job(stage: Stage, cls: str, request_id: str = "a") -> Peer:
+def submit_job(harness: Harness, cls: str, request_id: str = "a") -> Peer:
     """Connect a client that sends a job, and return it."""
-    client = stage.client()
-    client.say(job(cls, request_id))
+    client = harness.client()
+    client.send(job_request(cls, request_id))
     return client
 
 
-def run_job(stage: Stage, client: Peer, request_id: str = "a") -> bytes:
+def run_job(harness: Harness, client: Peer, request_id: str = "a") -> bytes:
     """Let the job run at the worker where it begins; return what its client received within 2 s."""
     done: set[str] = set()
     for _ in range(200):
-        stage.pass_time(10)
-        stage.turn(2, wait=0.5)
-        for worker in stage.workers:
+        harness.advance_clock(10)
+        harness.run_turns(2, wait=0.5)
+        for worker in harness.workers:
             if request_id in worker.begun() and request_id not in done:
                 done.add(request_id)
                 for peer in worker.peers:
-                    if not peer.ended and f"Req-Id: {request_id}".encode() in peer.got:
-                        peer.say(http(202))
-                stage.client().say(told(request_id, worker.name, "done", result="ok"))
-        if client.look():
+                    if not peer.ended and f"Req-Id: {request_id}".encode() in peer.received:
+                        peer.send(http_response(202))
+                harness.client().send(callback_request(request_id, worker.name, "done", result="ok"))
+        if client.read_available():
             break
-    return client.got
+    return client.received
 
 
 class MemoryShortages(unittest.TestCase):
@@ -148,32 +148,32 @@
         for cls in CLASSES:
             for error_number in MEMORY_SHORTAGES:
                 for call, which in (
-                    ("recv", leads_to_client), ("recv", to_worker),
-                    ("send", leads_to_client), ("send", to_worker),
+                    ("recv", leads_to_client), ("recv", leads_to_worker),
+                    ("send", leads_to_client), ("send", leads_to_worker),
                 ):  # fmt: skip
                     with (
                         self.subTest(
                             cls=cls, errno=errno.errorcode[error_number], call=call, which=which.__name__
                         ),
-                        harness_with_faults() as (stage, faults),
+                        harness_with_faults() as (harness, faults),
                     ):
                         faults.fail(call, error_number, 4, which)
-                        client = submit_job(stage, cls)
-                        self.assertIn(b"200 OK", run_job(stage, client))
-                        self.assertEqual(stage.begun(), ["a"])
+                        client = submit_job(harness, cls)
+                        self.assertIn(b"200 OK", run_job(harness, client))
+                        self.assertEqual(harness.begun(), ["a"])
 
     def test_a_lasting_shortage_does_not_make_the_loop_spin(self) -> None:
         """The selector reports the socket as ready all the time."""
         for call in ("recv", "send"):
-            with self.subTest(call=call), harness_with_faults() as (stage, faults):
-                client = submit_job(stage, "time-lookup")
-                stage.until(lambda s=stage: s.core.outstanding, "the job")
-                faults.fail(call, errno.ENOBUFS, 10**6, to_worker if call == "send" else leads_to_client)
-                client.say(b"POST /time")
+            with self.subTest(call=call), harness_with_faults() as (harness, faults):
+                client = submit_job(harness, "time-lookup")
+                harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                faults.fail(call, errno.ENOBUFS, 10**6, leads_to_worker if call == "send" else leads_to_client)
+                client.send(b"POST /time")
                 before = faults.calls[call]
                 for _ in range(20):
-                    stage.pass_time(10)
-                    stage.turn(20, wait=0.0)
+                    harness.advance_clock(10)
+                    harness.run_turns(20, wait=0.0)
                 self.assertLess(faults.calls[call] - before, 200 / loops.MEMORY_RETRY_MS * 2 + 10)
 
 
@@ -181,22 +181,22 @@
     def test_a_waiting_client_is_accepted_after_any_error_of_accept(self) -> None:
         """An error of accept(2) must neither stop the listener nor lose the connections in its backlog."""
         for error_number in (*NO_ROOM_TO_ACCEPT, *PENDING_ON_ACCEPT):
-            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (stage, faults):
+            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (harness, faults):
                 faults.fail("accept", error_number, 5)
-                client = submit_job(stage, "result-post")
-                self.assertIn(b"200 OK", run_job(stage, client))
-                self.assertEqual(stage.begun(), ["a"])
+                client = submit_job(harness, "result-post")
+                self.assertIn(b"200 OK", run_job(harness, client))
+                self.assertEqual(harness.begun(), ["a"])
 
     def test_the_listener_is_suspended_while_there_is_no_room(self) -> None:
         """Without descriptors or memory the connection stays in the backlog and the listener readable."""
         for error_number in NO_ROOM_TO_ACCEPT:
-            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (stage, faults):
+            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (harness, faults):
                 faults.fail("accept", error_number, 10**6)
-                submit_job(stage, "time-lookup")
+                submit_job(harness, "time-lookup")
                 for _ in range(40):
-                    stage.pass_time(5)
-                    stage.turn(5, wait=0.0)
-                self.assertLess(faults.calls["accept"], 200 / loops.REST + 3)
+                    harness.advance_clock(5)
+                    harness.run_turns(5, wait=0.0)
+                self.assertLess(faults.calls["accept"], 200 / loops.SUSPEND_MS + 3)
 
     def test_a_connection_is_served_though_tcp_nodelay_cannot_be_set(self) -> None:
         """The option only improves latency: its failure must not cost the connection."""
@@ -206,24 +206,24 @@
                 raise OSError(errno.EINVAL, "setsockopt")
 
         with (
-            harness_with_faults() as (stage, _),
+            harness_with_faults() as (harness, _),
             mock.patch.object(socket.socket, "setsockopt", refuse_option, create=True),
         ):
-            self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "time-lookup")))
+            self.assertIn(b"200 OK", run_job(harness, submit_job(harness, "time-lookup")))
 
     def test_a_connection_that_cannot_be_registered_is_closed(self) -> None:
         """If epoll takes no further descriptor, the accepted one must not leak."""
-        with harness_with_faults() as (stage, _):
-            stage.turn()
-            register = stage.selector.register
+        with harness_with_faults() as (harness, _):
+            harness.run_turns()
+            register = harness.selector.register
             with mock.patch.object(
-                stage.selector, "register", side_effect=OSError(errno.ENOSPC, "epoll_ctl")
+                harness.selector, "register", side_effect=OSError(errno.ENOSPC, "epoll_ctl")
             ):
-                client = stage.client()
-                stage.turn(3)
-            self.assertEqual(len(stage.loop.connections), 0)
-            self.assertEqual(stage.selector.register, register)
-            client.look()
+                client = harness.client()
+                harness.run_turns(3)
+            self.assertEqual(len(harness.loop.connections), 0)
+            self.assertEqual(harness.selector.register, register)
+            client.read_available()
             self.assertNotEqual(client.ended, "")
 
 
@@ -231,33 +231,33 @@
     def test_an_interrupted_connect_continues(self) -> None:
         """EINTR is no failure: the connect continues in the background and must not be repeated."""
         for cls in CLASSES:
-            with self.subTest(cls=cls), harness_with_faults(workers=1) as (stage, faults):
+            with self.subTest(cls=cls), harness_with_faults(workers=1) as (harness, faults):
                 faults.fail("connect_ex", errno.EINTR, 1)
-                self.assertIn(b"200 OK", run_job(stage, submit_job(stage, cls)))
-                self.assertEqual((stage.begun(), faults.calls["connect_ex"]), (["a"], 1))
+                self.assertIn(b"200 OK", run_job(harness, submit_job(harness, cls)))
+                self.assertEqual((harness.begun(), faults.calls["connect_ex"]), (["a"], 1))
 
     def test_a_local_shortage_does_not_count_against_the_worker(self) -> None:
         """The attempt counts as not sent, and no worker is ejected."""
         for error_number in LOCAL_ERRORS:
             with (
                 self.subTest(errno=errno.errorcode[error_number]),
-                harness_with_faults(workers=4) as (stage, faults),
+                harness_with_faults(workers=4) as (harness, faults),
             ):
                 faults.fail("connect_ex", error_number, 2)
-                self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "result-post")))
-                self.assertEqual((stage.begun(), stage.counted("out.ended.not_sent")), (["a"], 2))
-                self.assertEqual(stage.core.module.avoided(stage.clock.at), set())
+                self.assertIn(b"200 OK", run_job(harness, submit_job(harness, "result-post")))
+                self.assertEqual((harness.begun(), harness.counter_value("out.ended.not_sent")), (["a"], 2))
+                self.assertEqual(harness.core.module.list_ejected_workers(harness.clock.at), set())
 
     def test_an_unreachable_address_counts_as_not_connected(self) -> None:
         """This is the worker's failure; the job goes to another one."""
         for error_number in REMOTE_ERRORS:
             with (
                 self.subTest(errno=errno.errorcode[error_number]),
-                harness_with_faults(workers=4) as (stage, faults),
+                harness_with_faults(workers=4) as (harness, faults),
             ):
                 faults.fail("connect_ex", error_number, 1)
-                self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "result-post")))
-                self.assertEqual((stage.begun(), stage.counted("out.ended.not_connected")), (["a"], 1))
+                self.assertIn(b"200 OK", run_job(harness, submit_job(harness, "result-post")))
+                self.assertEqual((harness.begun(), harness.counter_value("out.ended.not_connected")), (["a"], 1))
 
     def test_clients_get_503_while_no_worker_can_be_reached(self) -> None:
         """No attempt can begin, so each client must be told at its deadline that it may try again."""
@@ -265,15 +265,15 @@
             for cls in CLASSES:
                 with (
                     self.subTest(errno=errno.errorcode[error_number], cls=cls),
-                    harness_with_faults(workers=4) as (stage, faults),
+                    harness_with_faults(workers=4) as (harness, faults),
                 ):
                     faults.fail("connect_ex", error_number, 10**6)
-                    client = stage.client()
-                    client.say(job(cls, "a", wait=1500))
-                    stage.until(lambda s=stage: s.core.outstanding, "the job")
-                    stage.pass_time(1500)
-                    self.assertIn(b" 503 ", client.look()[:14])  # nothing has run: to try again is harmless
-                    self.assertEqual(stage.begun(), [])
+                    client = harness.client()
+                    client.send(job_request(cls, "a", wait=1500))
+                    harness.run_until(lambda s=harness: s.core.outstanding, "the job")
+                    harness.advance_clock(1500)
+                    self.assertIn(b" 503 ", client.read_available()[:14])  # nothing has run: to try again is harmless
+                    self.assertEqual(harness.begun(), [])
 
 
 class ShortCalls(unittest.TestCase):
@@ -281,8 +281,8 @@
         """recv(2) and send(2) may transfer less than they were asked to."""
         receive, send = socket.socket.recv, socket.socket.send
         for cls in CLASSES:
-            with self.subTest(cls=cls), staged() as stage:
-                faults = Faults(stage)
+            with self.subTest(cls=cls), running_harness() as harness:
+                faults = Faults(harness)
 
                 def receive_one_byte(
                     sock: socket.socket, size: int, *flags: int, faults: Faults = faults
@@ -296,33 +296,33 @@
                     mock.patch.object(socket.socket, "recv", receive_one_byte, create=True),
                     mock.patch.object(socket.socket, "send", send_one_byte, create=True),
                 ):
-                    client = submit_job(stage, cls)
+                    client = submit_job(harness, cls)
                     for _ in range(60):
-                        stage.turn(10, wait=0.0)
-                    self.assertTrue(stage.core.outstanding)
-                    stage.pass_time(40)
-                    stage.until(lambda s=stage: s.begun(), "the job to begin")
-                    name = next(w.name for w in stage.workers if w.begun())
-                    stage.client().say(told("a", name, "done", result="ok"))
-                    stage.until(lambda c=client: c.look().endswith(b"ok"), "the answer")
-                    self.assertEqual(stage.begun(), ["a"])
+                        harness.run_turns(10, wait=0.0)
+                    self.assertTrue(harness.core.outstanding)
+                    harness.advance_clock(40)
+                    harness.run_until(lambda s=harness: s.begun(), "the job to begin")
+                    name = next(w.name for w in harness.workers if w.begun())
+                    harness.client().send(callback_request("a", name, "done", result="ok"))
+                    harness.run_until(lambda c=client: c.read_available().endswith(b"ok"), "the answer")
+                    self.assertEqual(harness.begun(), ["a"])
 
 
 class Listening(unittest.TestCase):
     def test_an_address_that_cannot_be_bound_again_is_retried(self) -> None:
         """A closing process starts to listen again if a further request arrives, so that its worker can call
         back. Binding may fail at first, and must be repeated until it succeeds."""
-        with harness_with_faults() as (stage, _):
-            listener = stage.service.edge.listener
+        with harness_with_faults() as (harness, _):
+            listener = harness.service.http_front.listener
             address = listener.address
-            listener.pause()
+            listener.stop()
             with mock.patch.object(listener, "_bind_socket", side_effect=OSError(errno.EADDRINUSE, "bind")):
                 listener.start()
-                stage.pass_time(100)
-                self.assertFalse(listener.on)
-            stage.pass_time(loops.LISTEN_RETRY_MS)
-            self.assertEqual((listener.on, listener.address), (True, address))
-            self.assertIn(b"200 OK", run_job(stage, submit_job(stage, "time-lookup")))
+                harness.advance_clock(100)
+                self.assertFalse(listener.accepting)
+            harness.advance_clock(loops.LISTEN_RETRY_MS)
+            self.assertEqual((listener.accepting, listener.address), (True, address))
+            self.assertIn(b"200 OK", run_job(harness, submit_job(harness, "time-lookup")))
 
 
 class Logging(unittest.TestCase):
