--- a/eiderpin/net/discovery.py
+++ b/eiderpin/net/discovery.py
@@ -123,7 +123,9 @@
             core.source = self
         if known:
             generation, _, entries = read_list(known)
-            core.apply_worker_list(link, api.ListKind.STORED, self.with_local_start_times(entries), by_discovery=True)
+            core.apply_worker_list(
+                link, api.ListKind.STORED, self.with_local_start_times(entries), by_discovery=True
+            )
             if self.on_request:
                 self.generation = self.newest_generation = generation
         if not known or not self.on_request:
@@ -276,7 +278,9 @@
         self.has_answered = self.verified = True
         if whole or entries or self.on_request:  # on request an empty answer shows that the watch is active
             kind = api.ListKind.COMPLETE if whole else api.ListKind.CHANGES
-            self.core.apply_worker_list(self.link, kind, self.with_local_start_times(entries), by_discovery=True)
+            self.core.apply_worker_list(
+                self.link, kind, self.with_local_start_times(entries), by_discovery=True
+            )
         self.loop.deadlines.drop(self.timer)
         if not message.keep_alive and self.conn is not None:
             self.conn.close()
--- a/eiderpin/net/handover.py
+++ b/eiderpin/net/handover.py
@@ -37,7 +37,7 @@
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.core.moves import TransferredRequest, WaitingClient, adopt, rebuild_request, transfer_request
 from eiderpin.core.requests import Request
-from eiderpin.net.edge import HttpFront, ClientConnection
+from eiderpin.net.edge import ClientConnection, HttpFront
 from eiderpin.net.loop import Connection, Listener, Loop
 
 HELLO_TIMEOUT_MS = 1000.0  # a peer that sends nothing for so long after connecting is not a dispatcher
@@ -317,7 +317,9 @@
         """Publish our socket and tell our predecessor to stop accepting: we accept clients from now on."""
         self.publish()
         if self.predecessor is not None:
-            self.predecessor.send({"state": self.get_state()})  # it reports our readiness as its own from now on
+            self.predecessor.send(
+                {"state": self.get_state()}
+            )  # it reports our readiness as its own from now on
             self.predecessor.send({"serving": True, "published": self.published})
 
     def publish(self) -> None:
@@ -459,7 +461,9 @@
 
     def forward_callback(self, callback: dict[str, Any], reply: Reply) -> None:
         """Forward a call-back for an id that we do not know: a peer process may. It is always answered."""
-        links = [link for link in (self.predecessor, self.successor) if link is not None and link.hello_received]
+        links = [
+            link for link in (self.predecessor, self.successor) if link is not None and link.hello_received
+        ]
         self._forward(links, callback, reply)
 
     def on_forwarded_callback(self, link: Link, callback: dict[str, Any], reply: Reply) -> None:
--- a/eiderpin/net/loop.py
+++ b/eiderpin/net/loop.py
@@ -58,8 +58,8 @@
 
     __slots__ = (
         "loop", "sock", "number", "connecting", "closed", "unsent", "closing", "on_open",
-        "on_data", "on_end", "on_flushed", "on_closed", "bytes_sent", "mask", "discarded_bytes", "close_deadline",
-        "receive", "peer_is_waiting", "retry_deadline", "backlog_wait_ms", "on_writable",
+        "on_data", "on_end", "on_flushed", "on_closed", "bytes_sent", "mask", "discarded_bytes",
+        "close_deadline", "receive", "peer_is_waiting", "retry_deadline", "backlog_wait_ms", "on_writable",
     )  # fmt: skip
 
     def __init__(self, loop: Loop, sock: socket.socket, connecting: bool) -> None:
@@ -78,7 +78,7 @@
         self.on_closed: Callable[[], None] = _ignore_event  # the descriptor is released, whoever closed
         self.discarded_bytes = 0  # input discarded since the close began
         self.close_deadline: Deadline | None = None
-        self.backlog_wait_ms = 0.0  # ms it may have spent in the listen backlog while accepting was suspended
+        self.backlog_wait_ms = 0.0  # in the listen backlog, at most, while accepting was suspended
         self.peer_is_waiting = False  # the peer waits for an answer; its leaving must be noticed early
         self.receive: Callable[[int], bytes] = sock.recv
         self.retry_deadline: Deadline | None = None  # repeats a call for which the kernel had no memory
@@ -214,7 +214,7 @@
             self._flush()
 
     def _shut_down_writing(self) -> None:
-        """Close the sending side and discard input until the peer closes its side, or LINGER has passed.
+        """Close the sending side and discard input until the peer closes its side, at most for LINGER_MS.
 
         If the socket were closed with unread or arriving input, the kernel would send a reset, and the peer
         might lose the last output.
@@ -288,7 +288,7 @@
 
 
 class Listener:
-    """Accepts connections while it is `accepting` and `make_room` returns True.
+    """Accepts connections after `start` and until `stop`, while `make_room` returns True.
 
     Args:
         address_or_socket: (host, port), or an already listening socket that other processes may share. Such
@@ -296,7 +296,7 @@
         on_accept: called with each accepted connection.
         make_room: called when accepting resumes and when descriptors run out; frees resources if it can and
             returns whether there is room for a connection.
-        on: whether to start accepting now.
+        accepting: whether to start now.
         shared: use SO_REUSEPORT, so that an old and a new process can both bind the address for a while.
     """
 
@@ -333,7 +333,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The (host, port) it is bound to; kept while it is paused."""
+        """The (host, port) it is bound to; kept while it is stopped."""
         host, port = self._address[:2]
         return str(host), int(port)
 
--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -106,7 +106,11 @@
         A worker begins a job at the last byte of the request, so this job does not run.
         """
         attempt, core = self.attempt, self.workers.core
-        if self.state is ExchangeState.SENDING and attempt is not None and core.all_waiters_left(attempt.request):
+        if (
+            self.state is ExchangeState.SENDING
+            and attempt is not None
+            and core.all_waiters_left(attempt.request)
+        ):
             self.close()
             core.ended(attempt, api.Outcome.NOT_SENT)
 
@@ -242,7 +246,9 @@
         # Call-backs received while a ledger is being recovered, with their replies; None: handled at once.
         self.deferred_callbacks: list[tuple[Any, Callable[[int], None]]] | None = None
         # Handles a call-back for a request that is not known here.
-        self.on_unknown_callback: Callable[[dict[str, Any], Callable[[int], None]], None] = _acknowledge_unknown
+        self.on_unknown_callback: Callable[[dict[str, Any], Callable[[int], None]], None] = (
+            _acknowledge_unknown
+        )
 
     # -- the link, as the core uses it
 
@@ -252,7 +258,9 @@
         # job that must not run twice; a new connection costs far less.
         not_repeatable = self.core.classes[attempt.request.cls].repeat is not api.Repeat.FREE
         try:
-            connection = self._acquire(attempt.endpoint, SAFE_IDLE_MS if not_repeatable else self.idle_limit())
+            connection = self._acquire(
+                attempt.endpoint, SAFE_IDLE_MS if not_repeatable else self.idle_limit()
+            )
         except ConnectError as error:
             # A shortage of this host says nothing about the worker; an address that cannot be reached does.
             self.core.ended(attempt, api.Outcome.NOT_SENT if error.is_local else api.Outcome.NOT_CONNECTED)
@@ -416,7 +424,7 @@
             self.reply_to_callback(callback, known, reply)
 
     def reply_to_callback(self, callback: Any, known: bool, reply: Callable[[int], None]) -> None:
-        """Count an applied call-back and answer it; one for an unknown request goes to `on_unknown_callback`."""
+        """Count an applied call-back and answer it, or pass it to `on_unknown_callback`."""
         state = callback["state"]
         self.core.counters.add(f"in.news.{state}" if state in CALLBACK_OUTCOMES else "in.news.other")
         if known:
@@ -436,7 +444,9 @@
         state, request = callback["state"], self.core.request_of(callback["id"])
         if request is None:
             job_manager, sender = self.core.job_manager, str(callback.get("from"))
-            return job_manager is not None and job_manager.handle_late_report(callback["id"], sender, state, _result_bytes(callback))
+            return job_manager is not None and job_manager.handle_late_report(
+                callback["id"], sender, state, _result_bytes(callback)
+            )
         by_sender = [a for a in request.attempts if a.endpoint.name == callback.get("from")]
         attempt = next((a for a in reversed(by_sender) if not a.ended), None)
         if attempt is None:
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -187,7 +187,9 @@
         self.workers = [Worker(f"w{i}") for i in range(workers)]
         self.clients: list[Peer] = []
         self.wall_clock_ahead_ms = 0.0  # ms by which the wall clock is ahead of `clock`
-        self._wall = mock.patch.object(wall_clock, "read_wall", lambda: self.clock.at + self.wall_clock_ahead_ms)
+        self._wall = mock.patch.object(
+            wall_clock, "read_wall", lambda: self.clock.at + self.wall_clock_ahead_ms
+        )
         self._wall.start()
         document: dict[str, Any] = {"name": "t1", "listen": "127.0.0.1:0", "seed": "1f",
                                     "settings": {**SETTINGS, **(settings or {})}}  # fmt: skip
--- a/tests/test_discovery_ends.py
+++ b/tests/test_discovery_ends.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from eiderpin.net import discovery
-from tests.crossing import Peer, Harness, Worker, http_response, job_request, running_harness
+from tests.crossing import Harness, Peer, Worker, http_response, job_request, running_harness
 
 KNOWN_WITHIN_MS = 6000.0  # required by the operators of the platform
 STEP_MS = 20.0  # between two turns of the agent
@@ -232,7 +232,9 @@
             newest, agent.generation = agent.generation, 1
             agent.list_worker(harness.workers[0], "Ready")
             self.assertLess(agent.generation, newest)
-            agent.failure = lambda peer: peer.send(http_response(200, body=agent.answer("/catalog/members") or b""))
+            agent.failure = lambda peer: peer.send(
+                http_response(200, body=agent.answer("/catalog/members") or b"")
+            )
             run_agent(harness, agent, ms=discovery.OUTDATED_REJECT_MS - 600)
             self.assertTrue(is_draining(harness))
             agent.failure, agent.generation = None, newest
@@ -253,7 +255,9 @@
             for peer in agent.peers:
                 if not peer.ended:
                     peer.close()
-            self.assertLess(run_agent(harness, agent, until=lambda: is_draining(harness)), KNOWN_WITHIN_MS - 200)
+            self.assertLess(
+                run_agent(harness, agent, until=lambda: is_draining(harness)), KNOWN_WITHIN_MS - 200
+            )
 
 
 class Lists(unittest.TestCase):
--- a/tests/test_fleet_discovery.py
+++ b/tests/test_fleet_discovery.py
@@ -19,7 +19,7 @@
 from eiderpin.core.requests import Request
 from eiderpin.net.discovery import WATCH_WAIT_MS, Discovery
 from eiderpin.net.loop import Loop
-from tests.test_core import Client, ManualClock, Link
+from tests.test_core import Client, Link, ManualClock
 
 OLD_GENERATION, NEW_GENERATION = 7, 8  # of the stored list, and of the service's list
 ROWS = {
--- a/tests/test_stored_list.py
+++ b/tests/test_stored_list.py
@@ -20,7 +20,7 @@
 import pytest
 
 from eiderpin import interface as api
-from tests.crossing import Peer, Harness, Worker, job_request
+from tests.crossing import Harness, Peer, Worker, job_request
 from tests.test_discovery_ends import FAILURES, Agent, run_agent
 
 INSTANCES = 200
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -22,7 +22,15 @@
 from unittest import mock
 
 from eiderpin.net import loop as loops
-from tests.crossing import Peer, Harness, http_response, job_request, running_harness, leads_to_worker, callback_request
+from tests.crossing import (
+    Harness,
+    Peer,
+    callback_request,
+    http_response,
+    job_request,
+    leads_to_worker,
+    running_harness,
+)
 from tests.standins import ROOT, HttpWorker, http_call, running, wait_for
 
 CLASSES = ("time-lookup", "result-post")
@@ -168,7 +176,9 @@
             with self.subTest(call=call), harness_with_faults() as (harness, faults):
                 client = submit_job(harness, "time-lookup")
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
-                faults.fail(call, errno.ENOBUFS, 10**6, leads_to_worker if call == "send" else leads_to_client)
+                faults.fail(
+                    call, errno.ENOBUFS, 10**6, leads_to_worker if call == "send" else leads_to_client
+                )
                 client.send(b"POST /time")
                 before = faults.calls[call]
                 for _ in range(20):
@@ -181,7 +191,10 @@
     def test_a_waiting_client_is_accepted_after_any_error_of_accept(self) -> None:
         """An error of accept(2) must neither stop the listener nor lose the connections in its backlog."""
         for error_number in (*NO_ROOM_TO_ACCEPT, *PENDING_ON_ACCEPT):
-            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (harness, faults):
+            with (
+                self.subTest(errno=errno.errorcode[error_number]),
+                harness_with_faults() as (harness, faults),
+            ):
                 faults.fail("accept", error_number, 5)
                 client = submit_job(harness, "result-post")
                 self.assertIn(b"200 OK", run_job(harness, client))
@@ -190,7 +203,10 @@
     def test_the_listener_is_suspended_while_there_is_no_room(self) -> None:
         """Without descriptors or memory the connection stays in the backlog and the listener readable."""
         for error_number in NO_ROOM_TO_ACCEPT:
-            with self.subTest(errno=errno.errorcode[error_number]), harness_with_faults() as (harness, faults):
+            with (
+                self.subTest(errno=errno.errorcode[error_number]),
+                harness_with_faults() as (harness, faults),
+            ):
                 faults.fail("accept", error_number, 10**6)
                 submit_job(harness, "time-lookup")
                 for _ in range(40):
@@ -257,7 +273,9 @@
             ):
                 faults.fail("connect_ex", error_number, 1)
                 self.assertIn(b"200 OK", run_job(harness, submit_job(harness, "result-post")))
-                self.assertEqual((harness.begun(), harness.counter_value("out.ended.not_connected")), (["a"], 1))
+                self.assertEqual(
+                    (harness.begun(), harness.counter_value("out.ended.not_connected")), (["a"], 1)
+                )
 
     def test_clients_get_503_while_no_worker_can_be_reached(self) -> None:
         """No attempt can begin, so each client must be told at its deadline that it may try again."""
@@ -272,7 +290,9 @@
                     client.send(job_request(cls, "a", wait=1500))
                     harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                     harness.advance_clock(1500)
-                    self.assertIn(b" 503 ", client.read_available()[:14])  # nothing has run: to try again is harmless
+                    self.assertIn(
+                        b" 503 ", client.read_available()[:14]
+                    )  # nothing has run: to try again is harmless
                     self.assertEqual(harness.begun(), [])
 
 
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -8,7 +8,7 @@
 import itertools
 import unittest
 
-from tests.crossing import Peer, Harness, http_response, job_request, running_harness, callback_request
+from tests.crossing import Harness, Peer, callback_request, http_response, job_request, running_harness
 
 ACCEPTED = http_response(202)
 DECLINED = http_response(503, "Srv-Declined: 1")
@@ -49,11 +49,22 @@
         """Data on an idle connection could be taken for the answer to the next request. It is read while the
         connection is idle, or still unread when the connection would be used."""
         for data, read_first, cls in itertools.product(
-            (b"H", b"HTTP/1.1 50", b"HTTP/1.1 500 X\r\n", ACCEPTED, http_response(500), b"\r\n", b"\0nonsense"),
+            (
+                b"H",
+                b"HTTP/1.1 50",
+                b"HTTP/1.1 500 X\r\n",
+                ACCEPTED,
+                http_response(500),
+                b"\r\n",
+                b"\0nonsense",
+            ),
             (True, False),
             ("time-lookup", "result-post"),
         ):
-            with self.subTest(data=data, read_first=read_first, cls=cls), running_harness(workers=1) as harness:
+            with (
+                self.subTest(data=data, read_first=read_first, cls=cls),
+                running_harness(workers=1) as harness,
+            ):
                 client, peer = begin_job(harness, "time-lookup", "a")
                 peer.send(ACCEPTED)
                 harness.run_turns(5)
@@ -62,7 +73,9 @@
                     hold_back_open_connections(harness)
                 peer.send(data)
                 if read_first:
-                    harness.run_until(lambda s=harness: not count_worker_connections(s), "the connection's end")
+                    harness.run_until(
+                        lambda s=harness: not count_worker_connections(s), "the connection's end"
+                    )
                     self.assertEqual(harness.counter_value("in.worker_unasked"), 1)
                 client, new_peer = begin_job(harness, cls, "b")
                 harness.release_held()
@@ -89,7 +102,10 @@
         """If the close is seen before the write, another connection is used. If it is seen only afterwards,
         the job may have run, and only a class that may run twice is sent again."""
         for closed_before_write, cls in itertools.product((True, False), ("time-lookup", "result-post")):
-            with self.subTest(closed_before_write=closed_before_write, cls=cls), running_harness(workers=1) as harness:
+            with (
+                self.subTest(closed_before_write=closed_before_write, cls=cls),
+                running_harness(workers=1) as harness,
+            ):
                 client, peer = begin_job(harness, "time-lookup", "a")
                 peer.send(ACCEPTED)
                 harness.run_turns(5)
@@ -202,7 +218,8 @@
                 harness.run_turns(5)
                 callback_client.send(callback_request("a", "w0", second, result="two"))
                 harness.run_until(
-                    lambda c=callback_client: c.read_available().count(b"HTTP/1.1 204") == 2, "both to be answered"
+                    lambda c=callback_client: c.read_available().count(b"HTTP/1.1 204") == 2,
+                    "both to be answered",
                 )
                 harness.advance_clock(8000)
                 got = client.read_available()
