--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -414,8 +414,8 @@
 
     def process_deferred_callbacks(self) -> None:
         """Handle the call-backs that were deferred while the ledger was recovered."""
-        deferred_callbacks, self.deferred_callbacks = self.deferred_callbacks or [], None
-        for callback, reply in deferred_callbacks:
+        deferred, self.deferred_callbacks = self.deferred_callbacks or [], None
+        for callback, reply in deferred:
             try:
                 known = self.apply_callback(callback)
             except ValueError:
