--- a/tests/test_discovery_ends.py
+++ b/tests/test_discovery_ends.py
@@ -135,6 +135,8 @@
 
 
 class FailedCalls(unittest.TestCase):
+    """Calls that fail, in all the ways of FAILURES."""
+
     def test_a_change_is_known_within_the_limit_after_discovery_recovers(self) -> None:
         """The list changes during an outage of `outage_ms`. The outage ends at the worst moment, directly
         after another call has begun that fails."""
@@ -196,6 +198,8 @@
 
 
 class LogEvents(unittest.TestCase):
+    """What is logged of an outage of discovery."""
+
     def test_an_outage_is_logged_at_its_beginning_and_at_its_end(self) -> None:
         """The events hold the reason, the known generation and the age of the list; failed calls between
         them are not logged."""
@@ -224,6 +228,8 @@
 
 
 class OutdatedLists(unittest.TestCase):
+    """Answers with a generation below one that was received before."""
+
     def test_an_answer_with_an_older_generation_brings_no_worker_back(self) -> None:
         """Applied, the outdated answer would put a draining worker back in service."""
         with watched_agent() as (harness, agent):
@@ -261,6 +267,8 @@
 
 
 class Lists(unittest.TestCase):
+    """Answers and connections out of the ordinary."""
+
     def test_a_list_of_over_100_kb_is_accepted(self) -> None:
         """Lists may be indented, and grow with the fleet."""
         agent = Agent()
@@ -327,6 +335,8 @@
 
 
 class DescriptorLimit(unittest.TestCase):
+    """Discovery while descriptors run short."""
+
     def test_idle_clients_fill_the_descriptors_while_discovery_is_down(self) -> None:
         """Idle clients must not use up the descriptors that discovery, workers and call-backs need, nor keep
         out a new client."""
--- a/tests/test_fleet_discovery.py
+++ b/tests/test_fleet_discovery.py
@@ -130,6 +130,8 @@
 
 
 class ManyDispatchers(unittest.TestCase):
+    """When the dispatchers of a fleet call the service, and what they fetch."""
+
     def test_all_get_the_list_though_the_service_cannot_answer_all_at_once(self) -> None:
         """Retries of refused calls must spread out, so that the service gets to answer each dispatcher."""
         fleet = Fleet(40, calls_per_s=10.0)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -24,6 +24,8 @@
 
 
 class Forms(unittest.TestCase):
+    """The forms of a report."""
+
     def test_each_form_of_a_complete_report_is_parsed(self) -> None:
         """Text and JSON, with and without an enclosing `load`, give the same report."""
         for body in (
@@ -53,6 +55,8 @@
 
 
 class Probes(unittest.TestCase):
+    """Reports that probes fetch."""
+
     def test_probes_request_load_reports_where_the_settings_say_so(self) -> None:
         """Probes must go to /_load, and an invalid or empty report must still count as an answer."""
         for load in (b"recent_ms=0,backlog=0,x0=4,x1=4", b"{", b""):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -188,6 +188,8 @@
 
 
 class Accepting(unittest.TestCase):
+    """Errors of accept(2) and of setting up the accepted connection."""
+
     def test_a_waiting_client_is_accepted_after_any_error_of_accept(self) -> None:
         """An error of accept(2) must neither stop the listener nor lose the connections in its backlog."""
         for error_number in (*NO_ROOM_TO_ACCEPT, *PENDING_ON_ACCEPT):
@@ -244,6 +246,8 @@
 
 
 class Connecting(unittest.TestCase):
+    """Errors of connect(2)."""
+
     def test_an_interrupted_connect_continues(self) -> None:
         """EINTR is no failure: the connect continues in the background and must not be repeated."""
         for cls in CLASSES:
@@ -297,6 +301,8 @@
 
 
 class ShortCalls(unittest.TestCase):
+    """Calls that transfer less than was asked for."""
+
     def test_a_job_is_served_though_each_call_moves_one_byte(self) -> None:
         """recv(2) and send(2) may transfer less than they were asked to."""
         receive, send = socket.socket.recv, socket.socket.send
@@ -329,6 +335,8 @@
 
 
 class Listening(unittest.TestCase):
+    """Errors of bind(2)."""
+
     def test_an_address_that_cannot_be_bound_again_is_retried(self) -> None:
         """A closing process starts to listen again if a further request arrives, so that its worker can call
         back. Binding may fail at first, and must be repeated until it succeeds."""
@@ -346,6 +354,8 @@
 
 
 class Logging(unittest.TestCase):
+    """Errors of writing the log."""
+
     def test_the_process_serves_on_when_the_reader_of_its_log_has_gone(self) -> None:
         """Every write to standard error fails; the process must serve on and end in order."""
         worker = HttpWorker("h1")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -133,6 +133,8 @@
 
 
 class Upgrade(unittest.TestCase):
+    """Handover between processes, with each of them failing at some moment."""
+
     def test_the_new_process_takes_the_clients_and_the_old_one_finishes_and_ends(self) -> None:
         """During an upgrade no request may fail: idle clients are closed in order, new ones are served by the
         new process, and the old one answers its job before it exits."""
--- a/tests/test_worker_answers.py
+++ b/tests/test_worker_answers.py
@@ -45,6 +45,8 @@
 
 
 class IdleConnections(unittest.TestCase):
+    """What happens on a connection between exchanges."""
+
     def test_unsolicited_data_ends_the_connection(self) -> None:
         """Data on an idle connection could be taken for the answer to the next request. It is read while the
         connection is idle, or still unread when the connection would be used."""
@@ -128,6 +130,8 @@
 
 
 class Answers(unittest.TestCase):
+    """Answers to attempts and probes, and the call-backs that race them."""
+
     def test_cut_off_answers_count_as_resets_and_complete_ones_by_their_status(self) -> None:
         """The table of the protocol: the answer, how the connection ends, how often a result-post begins, and
         the status that its client gets. An answer without Content-Length is complete when the connection
