--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import subprocess
 import sys
 import tomllib
@@ -15,6 +16,9 @@
     "benchmarks/scale",
     "benchmarks/soak",
 )
+# Statements of eiderpin/decide.py, docstrings set aside. The file only shrinks: this is lowered with it and
+# never raised.
+DECIDE_STATEMENTS_MAX = 970
 
 
 def run(*command: str) -> None:
@@ -39,15 +43,28 @@
     run("mypy", "--cache-dir", "/dev/null")
 
 
+def count_statements(source: str) -> int:
+    """Counts a module's statements at every depth. Docstrings, comments and line breaks don't count."""
+    nodes = list(ast.walk(ast.parse(source)))
+    documentable = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
+    docstrings = sum(
+        isinstance(node, documentable) and ast.get_docstring(node, clean=False) is not None for node in nodes
+    )
+    return sum(isinstance(node, ast.stmt) for node in nodes) - docstrings
+
+
 def test_decisions_stay_in_modules_that_can_be_read() -> None:
     """Further decisions go to modules of their own, listed as `policy`, not into the first."""
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         policy = tomllib.load(file)["policy"]
     assert "eiderpin/decide.py" in policy
     for name in policy:
-        lines = (ROOT / name).read_text().splitlines()
-        most = 1210 if name == "eiderpin/decide.py" else 500
-        assert len([line for line in lines if line.strip()]) <= most, name
+        source = (ROOT / name).read_text()
+        lines = source.splitlines()
+        if name == "eiderpin/decide.py":
+            assert count_statements(source) <= DECIDE_STATEMENTS_MAX, name
+        else:
+            assert len([line for line in lines if line.strip()]) <= 500, name
         assert max(map(len, lines)) <= 110, name
 
 
