--- a/benchmarks/crash_jobs.py
+++ b/benchmarks/crash_jobs.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from benchmarks.rig import Answer, HttpWorker, Program, RunLog, ask_gearman, ask_http, gearman_worker
-from eiderpin.cli.jobs import Account
+from eiderpin.cli.jobs import LedgerReport
 
 RUN = (0.002, 0.06)  # s that a job takes
 
@@ -128,9 +128,9 @@
                 say(f"{name} was told {got}")
             if got[0].served and ran[name] != 1:
                 say(f"{name} was told a result and ran {ran[name]} times")
-        said = Account(ledger)
-        if said.doubt:
-            say(f"the ledger: {said.doubt}")
+        said = LedgerReport(ledger)
+        if said.read_error:
+            say(f"the ledger: {said.read_error}")
         for job in said.ledger.jobs.values():
             name, state = job.accepted.unique, job.state()
             if state in ("waiting", "leased"):
--- a/benchmarks/scale/compare.py
+++ b/benchmarks/scale/compare.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.run import BYTES_LIMIT, CPU_LIMIT, MEMORY_LIMIT
 from benchmarks.store import memory_mb
 from benchmarks.store_rig import Cluster, Process
-from eiderpin.cli.config import install
+from eiderpin.cli.config import publish_config
 from eiderpin.store.client import Failed
 
 LIKE = 0.15  # by which hollow ones may differ from real ones, in what members use and send
@@ -41,7 +41,7 @@
     moved, begun = traffic(cluster), time.monotonic()
     time.sleep(WINDOW / 2)
     store = cluster.store_client(10.0)
-    install(store, CHANGE)
+    publish_config(store, CHANGE)
     store.close()
     time.sleep(WINDOW / 2)
     took = time.monotonic() - begun
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,7 +20,7 @@
 import msgspec
 import orjson
 
-from eiderpin.cli.config import problem
+from eiderpin.cli.config import find_config_error
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Clock, Deadlines
 from eiderpin.fleet.observer import Observer
@@ -110,7 +110,7 @@
                 self.process.note_applied(f"{event.name}@{event.revision}")
                 continue
             version = version_of(event.value)
-            wrong = problem(event.value.partition(b"\n")[2])
+            wrong = find_config_error(event.value.partition(b"\n")[2])
             self.outcome = ConfigOutcome.REJECTED if wrong else ConfigOutcome.IN_FORCE
             if version < self.version:
                 self.process.tell(went_back=self.name, position=version, highest=self.version)
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -27,7 +27,7 @@
 from benchmarks.scale import bad_input
 from benchmarks.scale.fleet import ScaleFleet, percentile
 from benchmarks.store import memory_mb
-from eiderpin.cli.config import install
+from eiderpin.cli.config import publish_config
 from eiderpin.store.admission import SNAPSHOTS_PER_SECOND
 from eiderpin.store.client import Failed
 from eiderpin.store.names import OBSERVERS
@@ -160,7 +160,7 @@
         while True:
             try:
                 with contextlib.closing(self.fleet.cluster.store_client(2.0)) as store:
-                    version = install(store, text)
+                    version = publish_config(store, text)
                 break
             except Failed as error:
                 if time.monotonic() > asked + CHANGE_WITHIN:
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -23,7 +23,7 @@
 
 from benchmarks.rig import settings
 from benchmarks.store_rig import Cluster
-from eiderpin.cli.config import current, install, problem, version_of
+from eiderpin.cli.config import find_config_error, publish_config, read_config_version, read_current_config
 from eiderpin.store.client import Failed, StoreClient
 
 WRITERS, RAISERS, WATCHERS = 4, 3, 2
@@ -100,7 +100,7 @@
             number += 1
             text = json.dumps({"settings": settings(), "workers": [], "mark": number}).encode()
             try:
-                self.versions = max(self.versions, install(store, text))
+                self.versions = max(self.versions, publish_config(store, text))
                 self.installed += 1
             except Failed as error:
                 self.maybe_installed += error.kind == "unknown"
@@ -179,13 +179,13 @@
         known, most = sum(self.raised), sum(self.raised) + self.unknown
         if not known <= counter <= most:
             say(f"the counter is {counter}; {known} raises were told, {most - known} are not known")
-        version, text, _ = current(store)
+        version, text, _ = read_current_config(store)
         if version < self.versions or version > self.installed + self.maybe_installed:
             say(f"configuration: version {version}; {self.versions} was told, {self.installed} were made")
         for number in range(1, version + 1):
-            if problem(version_of(store, number)):
+            if find_config_error(read_config_version(store, number)):
                 say(f"configuration: version {number} is not whole")
-        if version and version_of(store, version) != text:
+        if version and read_config_version(store, version) != text:
             say(f"configuration: what holds is not version {version}")
         for process in self.cluster.all.values():
             taken = f"configuration version {version} taken"
--- a/eiderpin/cli/config.py
+++ b/eiderpin/cli/config.py
@@ -28,7 +28,7 @@
     management, limits, seed) stays in its own file."""
 
 
-def problem(text: bytes) -> str:
+def find_config_error(text: bytes) -> str:
     """What is wrong with it; empty: nothing."""
     try:
         read_shared(STAND_IN, text)
@@ -37,7 +37,7 @@
     return ""
 
 
-def current(store: StoreClient) -> tuple[int, bytes, int]:
+def read_current_config(store: StoreClient) -> tuple[int, bytes, int]:
     """Version, text and the document's revision; zeros where there is none. Raises `Failed`."""
     try:
         value, said = store.get(CURRENT)
@@ -49,13 +49,13 @@
     return int(version), text, said["revision"]
 
 
-def version_of(store: StoreClient, number: int) -> bytes:
+def read_config_version(store: StoreClient, number: int) -> bytes:
     return store.get(f"{VERSIONS}{number:08d}")[0]
 
 
-def install(store: StoreClient, text: bytes) -> int:
+def publish_config(store: StoreClient, text: bytes) -> int:
     """Make `text` the next version, if nobody else makes one meanwhile."""
-    before, _, revision = current(store)
+    before, _, revision = read_current_config(store)
     number = before + 1
 
     def row(name: str, value: bytes) -> dict[str, str]:
@@ -72,7 +72,7 @@
 @click.argument("file", type=click.Path(exists=True))
 def check(file: str) -> None:
     """Say whether dispatchers could take FILE."""
-    wrong = problem(Path(file).read_bytes())
+    wrong = find_config_error(Path(file).read_bytes())
     if wrong:
         click.echo(f"eiderpin: {file}: {wrong}", err=True)
         sys.exit(2)
@@ -85,12 +85,12 @@
 def set_(doors: str, file: str) -> None:
     """Make FILE, once checked, the configuration of all dispatchers."""
     text = Path(file).read_bytes()
-    wrong = problem(text)
+    wrong = find_config_error(text)
     if wrong:
         click.echo(f"eiderpin: {file}: {wrong}", err=True)
         sys.exit(2)
     with store_client(doors) as s:
-        click.echo(f"version {install(s, text)}")
+        click.echo(f"version {publish_config(s, text)}")
 
 
 @config.command()
@@ -100,9 +100,9 @@
     """The configuration, and what became of it at each dispatcher."""
     with store_client(doors) as s:
         if number is not None:
-            sys.stdout.buffer.write(version_of(s, number))
+            sys.stdout.buffer.write(read_config_version(s, number))
             return
-        now, text, _ = current(s)
+        now, text, _ = read_current_config(s)
         shown = fleet_view()
         members = shown.documents(s, PRESENT)
         observers = shown.live_observers(shown.documents(s, OBSERVERS), OBSERVERS)
@@ -136,9 +136,9 @@
     """What has changed from one version to another, or to the one that holds; exit code 1 where they
     differ."""
     with store_client(doors) as s:
-        before = version_of(s, one)
-        now, text, _ = current(s)
-        after = version_of(s, other) if other is not None else text
+        before = read_config_version(s, one)
+        now, text, _ = read_current_config(s)
+        after = read_config_version(s, other) if other is not None else text
     lines = list(
         difflib.unified_diff(
             before.decode().splitlines(), after.decode().splitlines(), f"version {one}",
@@ -155,8 +155,10 @@
 def rollback(doors: str, number: int | None) -> None:
     """Go back to version NUMBER, or to the one before; as a new version."""
     with store_client(doors) as s:
-        before, _, _ = current(s)
+        before, _, _ = read_current_config(s)
         back = number if number is not None else before - 1
         if back < 1:
             raise Failed("refused", "there is no earlier version")
-        click.echo(f"version {install(s, version_of(s, back))}, which is version {back} again")
+        click.echo(
+            f"version {publish_config(s, read_config_version(s, back))}, which is version {back} again"
+        )
--- a/eiderpin/cli/jobs.py
+++ b/eiderpin/cli/jobs.py
@@ -18,13 +18,13 @@
 TRIES = 5  # a live owner may replace its files by a checkpoint while we read
 
 
-class Account:
+class LedgerReport:
     """What a directory says, and what cannot be vouched for."""
 
     def __init__(self, folder: str) -> None:
         self.ledger = Ledger()
         self.found = reading.Found()
-        self.doubt = ""
+        self.read_error = ""
         self.counts: Counter[str] = Counter()
         for left in reversed(range(TRIES)):
             self.ledger, self.counts = Ledger(), Counter()
@@ -34,9 +34,9 @@
                 if left:
                     time.sleep(0.05)
                     continue
-                self.doubt = f"{error.filename or error}: it is not there"
+                self.read_error = f"{error.filename or error}: it is not there"
             except (reading.Damaged, BadFormat, BrokenRule, OSError) as error:
-                self.doubt = str(error)
+                self.read_error = str(error)
             return
 
     def take(self, record: Record) -> None:
@@ -45,18 +45,18 @@
         self.ledger.apply(said)
 
 
-def account(folder: str) -> Account:
+def account(folder: str) -> LedgerReport:
     """Ends the command where nothing at all can be read."""
-    said = Account(folder)
-    if said.doubt and not said.counts:
-        click.echo(f"eiderpin: {folder}: {said.doubt}", err=True)
+    said = LedgerReport(folder)
+    if said.read_error and not said.counts:
+        click.echo(f"eiderpin: {folder}: {said.read_error}", err=True)
         sys.exit(2)
     return said
 
 
-def warn(said: Account) -> None:
-    if said.doubt:
-        click.echo(f"eiderpin: not vouched for: {said.doubt}", err=True)
+def warn(said: LedgerReport) -> None:
+    if said.read_error:
+        click.echo(f"eiderpin: not vouched for: {said.read_error}", err=True)
         sys.exit(1)
 
 
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -19,7 +19,7 @@
 from benchmarks.rig import ROOT
 from benchmarks.scale import bad_input
 from benchmarks.store_rig import Cluster, Process
-from eiderpin.cli.config import install
+from eiderpin.cli.config import publish_config
 from eiderpin.parts.store import address
 from eiderpin.store.client import Failed
 from eiderpin.store.fleet_view import documents, live_observers
@@ -146,7 +146,7 @@
             store = it.cluster.store_client(20.0)
             said = json.loads((it.observers["d1"].folder / "config.json").read_text())
             text = json.dumps({"settings": said["settings"], "workers": []}).encode()
-            self.assertEqual(install(store, text), 1)
+            self.assertEqual(publish_config(store, text), 1)
             wait_for(lambda: all("version 1 taken" in p.log() for p in it.observers.values()), "version 1")
 
             def shown() -> str:
@@ -164,7 +164,7 @@
             )
             self.assertEqual(listed.count("observer of m"), 2)
             worse = dict(said["settings"], tick=7.0)
-            install(store, json.dumps({"settings": worse, "workers": []}).encode())
+            publish_config(store, json.dumps({"settings": worse, "workers": []}).encode())
             lagging = "d1: version 2, restart needed: settings"
             wait_for(lambda: lagging in shown(), "the restart to be asked for")
             self.assertIn("in force at 0 of 5 dispatchers\n", shown())
