--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -19,7 +19,7 @@
 from benchmarks.rig import ROOT
 from benchmarks.scale import bad_input
 from benchmarks.store_rig import Cluster, Process
-from eiderpin.cli.config import install
+from eiderpin.cli.config import publish_config
 from eiderpin.parts.store import parse_address
 from eiderpin.store.client import Failed
 from eiderpin.store.fleet_view import documents, live_observers
