--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -98,7 +98,7 @@
             process.say, process.warn,
         )  # fmt: skip
 
-    def changed(self, events: list[Event]) -> None:
+    def apply_events(self, events: list[Event]) -> None:
         """Check what a dispatcher would check, and note the time at which it is in force."""
         self.copied_at = self.copied_at or time.monotonic()
         position = self.observer.subscription.position
@@ -117,15 +117,15 @@
             self.version = version
             self.process.note_applied(f"version {version}")
 
-    def placed(self, instances: int, instance: int) -> None:
+    def set_placement(self, instances: int, instance: int) -> None:
         """Note how many dispatchers there are said to be."""
         self.place = (instances, instance)
 
-    def fenced(self) -> None:
+    def handle_fenced(self) -> None:
         """Another process has the name."""
         self.fenced_at = time.monotonic()
 
-    def report(self, revision: int) -> Report:
+    def build_report(self, revision: int) -> Report:
         """What is in force; operators are told about as much as by a real one."""
         about = {
             "edge": "127.0.0.1:65535", "management": "127.0.0.1:65535", "dispatcher": self.name,
@@ -203,9 +203,9 @@
             at=time.monotonic(), applied=applied, lags=lags, cpu_s=time.process_time(),
             received=self.loop.received, sent=self.loop.sent, dispatchers=len(observers),
             subscribed=sum(o.subscribed for o in observers),
-            current=sum(o.subscribed and o.current_at is not None and o.age < 2500.0 for o in observers),
+            current=sum(o.subscribed and o.current_at is not None and o.age_ms < 2500.0 for o in observers),
             copied_at=max((d.copied_at for d in self.dispatchers), default=0.0),
-            oldest_ms=max((o.age for o in observers), default=0.0),
+            oldest_ms=max((o.age_ms for o in observers), default=0.0),
             versions=sorted({d.version for d in self.dispatchers}),
             instances=sorted({n for n, _ in places}), fenced=sum(d.fenced_at > 0 for d in self.dispatchers),
             counters=dict(self.counters.counts),
--- a/eiderpin/fleet/backoff.py
+++ b/eiderpin/fleet/backoff.py
@@ -26,7 +26,7 @@
         self.rng, self.base, self.cap = rng, base, cap
         self.failures = 0
 
-    def next(self) -> float:
+    def next_wait_ms(self) -> float:
         """How long to wait after one more failure."""
         bound = min(self.cap, self.base * 2.0 ** min(self.failures, 30))
         self.failures += 1
--- a/eiderpin/fleet/comeback.py
+++ b/eiderpin/fleet/comeback.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Comeback:
+class RejoinProgress:
     """One start. `note` what has been reached; each step counts from its first time, and a step may be gone
     back on only by a new process."""
 
@@ -53,7 +53,7 @@
             return Stage.LISTED if now < self.begun + ALONE else Stage.ALONE
         return Stage.WHOLE if "known" in self.at else Stage.CAUGHT_UP
 
-    def share(self, now: float) -> int:
+    def traffic_percent(self, now: float) -> int:
         """Per cent of the traffic that it would take when whole."""
         return SHARES[self.stage(now)]
 
--- a/eiderpin/fleet/control_plane.py
+++ b/eiderpin/fleet/control_plane.py
@@ -12,9 +12,9 @@
 
 from eiderpin.core.counters import Counters
 from eiderpin.core.dispatcher import Dispatcher
-from eiderpin.fleet.comeback import Comeback
+from eiderpin.fleet.comeback import RejoinProgress
 from eiderpin.fleet.followed_documents import FollowedDocuments
-from eiderpin.fleet.observer import Observer, Standing
+from eiderpin.fleet.observer import Observer, PresenceState
 from eiderpin.fleet.subscription import Subscription
 from eiderpin.net.loop import Loop
 from eiderpin.net.management import ManagementConnection
@@ -32,7 +32,7 @@
     Args:
         about: What operators may know of this dispatcher.
         take_shared: Applies a shared configuration, see `FollowedDocuments`.
-        listed: Whether the list of workers has come since the start.
+        has_worker_list: Whether the list of workers has come since the start.
         on_fenced: Is called once where another process has begun with our name.
     """
 
@@ -45,16 +45,16 @@
         rng: random.Random,
         about: Callable[[], dict[str, Any]],
         take_shared: Callable[[bytes], list[str]],
-        listed: Callable[[], bool],
+        has_worker_list: Callable[[], bool],
         on_fenced: Callable[[], None],
         say: Callable[[str], None],
         warn: Callable[[str], None],
     ) -> None:
         """Begin to follow; nothing is known before the first copy."""
-        self.loop, self.core, self.about, self.listed = loop, core, about, listed
+        self.loop, self.core, self.about, self.has_worker_list = loop, core, about, has_worker_list
         self.on_fenced, self.say = on_fenced, say
         self.documents = FollowedDocuments(core, counters, take_shared, say, warn)
-        self.comeback = Comeback(loop.clock.now())
+        self.rejoin = RejoinProgress(loop.clock.now())
         token = f"{rng.getrandbits(TOKEN_BITS):016x}"
         subscription = Subscription(options.cluster, options.name, token, options.region)
         self.observer = Observer(loop, counters, subscription, options.endpoints, self, rng, say, warn)
@@ -62,23 +62,23 @@
 
     # -- what we are told
 
-    def changed(self, events: list[Event]) -> None:
+    def apply_events(self, events: list[Event]) -> None:
         """Apply what has changed."""
         for event in events:
             self.documents.take(event.name, event.value)
 
-    def placed(self, instances: int, instance: int) -> None:
+    def set_placement(self, instances: int, instance: int) -> None:
         """Share the workers with the other dispatchers."""
         if self.core.share(instances, instance):
             self.say(f"control plane: dispatcher {instance} of {instances}")
 
-    def fenced(self) -> None:
+    def handle_fenced(self) -> None:
         """Another process has our name."""
         self.on_fenced()
 
     # -- what we tell
 
-    def report(self, revision: int) -> Report:
+    def build_report(self, revision: int) -> Report:
         """What is in force here."""
         self._note_stage()
         config = self.documents.config
@@ -87,19 +87,19 @@
             "config": str(config),
             "incarnation": str(self.observer.subscription.epoch or ""),
             "stage": self.stage(),
-            "took": self.comeback.took(),
+            "took": self.rejoin.took(),
         }
         return Report(revision, config.number, config.outcome.value, config.detail, orjson.dumps(about))
 
     def stage(self) -> str:
         """How far the start has come."""
-        return self.comeback.stage(self.loop.clock.now()).value
+        return self.rejoin.stage(self.loop.clock.now()).value
 
     def _note_stage(self) -> None:
         """Note how far the start has come; it is asked for after whatever the member says."""
         current = self.observer.current_at is not None
-        known = self.observer.standing is not Standing.UNKNOWN
-        if self.comeback.note(self.loop.clock.now(), self.listed(), current, known):
+        known = self.observer.presence_state is not PresenceState.UNKNOWN
+        if self.rejoin.note(self.loop.clock.now(), self.has_worker_list(), current, known):
             self.say(f"control plane: {self.observer.subscription.name} is whole")
 
     def _refresh(self) -> None:
@@ -112,13 +112,13 @@
     @property
     def is_fenced(self) -> bool:
         """Whether another process has our name."""
-        return self.observer.standing is Standing.FENCED
+        return self.observer.presence_state is PresenceState.FENCED
 
-    def detail(self) -> str:
+    def readiness_detail(self) -> str:
         """What readiness is to say beside its state; empty where all is well."""
         if not self.observer.cut_off:
             return ""
-        return f", control plane {self.observer.age / 1000:.0f} s old"
+        return f", control plane {self.observer.age_ms / 1000:.0f} s old"
 
     def status(self) -> dict[str, Any]:
         """Figures for operators."""
@@ -133,8 +133,8 @@
             "documents": len(subscription.documents),
             "digest": f"{subscription.digest.value:016x}",
             "epoch": subscription.epoch,
-            "age_ms": int(observer.age),
-            "standing": observer.standing.value,
+            "age_ms": int(observer.age_ms),
+            "standing": observer.presence_state.value,
             "config": str(self.documents.config),
         }
 
--- a/eiderpin/fleet/incarnation.py
+++ b/eiderpin/fleet/incarnation.py
@@ -18,7 +18,7 @@
 PREFIX = "incarnations/"
 
 
-class Standing(Enum):
+class ClaimState(Enum):
     """Whether a process holds its name."""
 
     UNKNOWN = "unknown"  # it has not been claimed yet, or nobody has said so
@@ -32,7 +32,7 @@
     def __init__(self, name: str, token: str, generation: int) -> None:
         """Begin unknown, until `read` and `claim`."""
         self.name, self.token, self.generation = name, token, generation
-        self.standing = Standing.UNKNOWN
+        self.claim_state = ClaimState.UNKNOWN
         self.revision = 0
         self.seen: int | None = None  # the document's revision when we began; None: not read yet
 
@@ -59,28 +59,28 @@
     def heard(self, value: bytes | None, revision: int, refused: bool = False) -> bool:
         """What the document says, as our member has it; whether that has just fenced us. `refused`: our claim
         was not carried out, and this is why."""
-        if self.standing is Standing.FENCED:
+        if self.claim_state is ClaimState.FENCED:
             return False
         if token_of(value) == self.token:
-            self.standing, self.revision = Standing.HELD, revision
+            self.claim_state, self.revision = ClaimState.HELD, revision
             return False
-        taken = self.standing is Standing.HELD and (value is None or revision > self.revision)
+        taken = self.claim_state is ClaimState.HELD and (value is None or revision > self.revision)
         if not (refused or taken):
             return False  # of an earlier life
-        self.standing = Standing.FENCED
+        self.claim_state = ClaimState.FENCED
         return True
 
     def replaced(self) -> bool:
         """The other members say that another disk has our name; whether that has just fenced us."""
-        news = self.standing is not Standing.FENCED
-        self.standing = Standing.FENCED
+        news = self.claim_state is not ClaimState.FENCED
+        self.claim_state = ClaimState.FENCED
         return news
 
     def guarded(self, change: Transaction) -> Transaction:
         """The change, carried out only while we are the latest by our name. Raises `ValueError` where we are
         not known to be."""
-        if self.standing is not Standing.HELD:
-            raise ValueError(f"the incarnation of {self.name} is {self.standing.value}")
+        if self.claim_state is not ClaimState.HELD:
+            raise ValueError(f"the incarnation of {self.name} is {self.claim_state.value}")
         return Transaction(change.ops, [*change.compares, Compare(self.document, self.revision)])
 
 
--- a/eiderpin/fleet/member_choice.py
+++ b/eiderpin/fleet/member_choice.py
@@ -16,7 +16,7 @@
 from eiderpin.parts.observer import Endpoint
 
 AVOID_FIRST = 2_000.0
-AVOID_LONGEST = 30_000.0
+MAX_AVOID_MS = 30_000.0
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
                 return endpoint
         return None
 
-    def next(self, now: float) -> Endpoint:
+    def next_member(self, now: float) -> Endpoint:
         """The member to try now: the best, or the one whose time is over soonest."""
         best = self.best(now)
         if best is not None:
@@ -72,9 +72,9 @@
     def avoid(self, member: str, now: float) -> None:
         """A member has failed, or is of no use for the time being."""
         times = self._avoided[member].times + 1 if member in self._avoided else 0
-        bound = min(AVOID_LONGEST, AVOID_FIRST * 2.0**times)
+        bound = min(MAX_AVOID_MS, AVOID_FIRST * 2.0**times)
         self._avoided[member] = _Avoided(now + self.rng.uniform(0.5, 1.0) * bound, min(times, 10))
 
-    def succeeded(self, member: str) -> None:
+    def clear_avoidance(self, member: str) -> None:
         """A member serves us well: what was held against it is forgotten."""
         self._avoided.pop(member, None)
--- a/eiderpin/fleet/observer.py
+++ b/eiderpin/fleet/observer.py
@@ -17,16 +17,16 @@
 from eiderpin.fleet.backoff import FullJitter
 from eiderpin.fleet.member_choice import MemberChoice
 from eiderpin.fleet.subscription import (
-    Current,
+    DocumentsChanged,
     FencedOut,
-    Known,
-    Placed,
+    Placement,
+    PresenceConfirmed,
     Refused,
     Reply,
     Subscription,
     SubscriptionError,
     Update,
-    Updated,
+    UpToDate,
     Violation,
 )
 from eiderpin.net.loop import Connection, Loop
@@ -48,24 +48,24 @@
 class ObserverSink(Protocol):
     """What a dispatcher does with what it is told."""
 
-    def changed(self, events: list[Event]) -> None:
+    def apply_events(self, events: list[Event]) -> None:
         """Documents have changed; apply them at once."""
         ...
 
-    def placed(self, instances: int, instance: int) -> None:
+    def set_placement(self, instances: int, instance: int) -> None:
         """So many dispatchers are live, and this is the one with that number, from 0."""
         ...
 
-    def fenced(self) -> None:
+    def handle_fenced(self) -> None:
         """Another process has our name, for good."""
         ...
 
-    def report(self, revision: int) -> Report:
+    def build_report(self, revision: int) -> Report:
         """What is in force, all up to this revision having been applied."""
         ...
 
 
-class Standing(Enum):
+class PresenceState(Enum):
     """Whether other dispatchers know of this one."""
 
     UNKNOWN = "unknown"
@@ -102,7 +102,7 @@
         self.backoff = FullJitter(rng)
         self.endpoint: Endpoint | None = None  # where we are, or try to be
         self.subscribed = False  # the member has accepted us
-        self.standing = Standing.UNKNOWN
+        self.presence_state = PresenceState.UNKNOWN
         self.current_at: float | None = None  # when the copy was certain to be up to date; None: never
         self._begun_at = loop.clock.now()
         self._connection: Connection | None = None
@@ -118,7 +118,7 @@
     # -- figures
 
     @property
-    def age(self) -> float:
+    def age_ms(self) -> float:
         """For how long the copy may have been out of date, in ms; before the first copy, since the start."""
         since = self.current_at if self.current_at is not None else self._begun_at
         return max(0.0, self.loop.clock.now() - since)
@@ -126,7 +126,7 @@
     @property
     def cut_off(self) -> bool:
         """Whether changes may have been missed for longer than a change of member takes."""
-        return self.age > 2 * STALE
+        return self.age_ms > 2 * STALE
 
     # -- connecting
 
@@ -137,7 +137,7 @@
     def _connect(self) -> None:
         now = self.loop.clock.now()
         self._look_at_age()
-        self.endpoint = self.choice.next(now)
+        self.endpoint = self.choice.next_member(now)
         connection = self.loop.connect(self.endpoint.address)
         if connection is None:
             self._failed()
@@ -190,7 +190,7 @@
         if self.choice.best(self.loop.clock.now()) is not None:
             self._connect_after(self.rng.uniform(0.0, self.backoff.base))
         else:
-            self._connect_after(self.backoff.next())
+            self._connect_after(self.backoff.next_wait_ms())
 
     def _avoid(self) -> None:
         if self.endpoint is not None:
@@ -211,7 +211,7 @@
         try:
             messages = [FROM_MEMBER.decode(body) for body in frames.feed(data)]
             for message in messages:
-                for update in self.subscription.received(message):
+                for update in self.subscription.handle_message(message):
                     self._take(update)
                 if self._connection is not connection:
                     return
@@ -252,15 +252,15 @@
     def _take(self, update: Update) -> None:
         if isinstance(update, Reply):
             self._send(update.message)
-        elif isinstance(update, Updated):
+        elif isinstance(update, DocumentsChanged):
             self.counters.add("observer.changes", len(update.events))
-            self.sink.changed(update.events)
-        elif isinstance(update, Current):
+            self.sink.apply_events(update.events)
+        elif isinstance(update, UpToDate):
             self._note_current(update.stale_ms)
-        elif isinstance(update, Placed):
-            self.sink.placed(update.instances, update.instance)
-        elif isinstance(update, Known):
-            self.standing = Standing.KNOWN
+        elif isinstance(update, Placement):
+            self.sink.set_placement(update.instances, update.instance)
+        elif isinstance(update, PresenceConfirmed):
+            self.presence_state = PresenceState.KNOWN
         elif isinstance(update, FencedOut):
             self._fenced()
         else:
@@ -278,7 +278,7 @@
         if stale_ms < STALE:
             self.current_at = now - stale_ms
             if self.endpoint is not None:
-                self.choice.succeeded(self.endpoint.member)
+                self.choice.clear_avoidance(self.endpoint.member)
             self._look_at_age()
             return
         self._avoid()  # it hears of no leader: another one may
@@ -288,20 +288,20 @@
 
     def _look_at_age(self) -> None:
         """Tell operators once that the copy has grown old, and once that it is up to date again."""
-        if self.age > WARN_AGE and not self._warned:
+        if self.age_ms > WARN_AGE and not self._warned:
             self._warned = True
             self.counters.add("observer.cut_off")
-            self.warn(f"control plane: not heard for {self.age / 1000:.0f} s; goes on with what it has")
-        elif self._warned and self.age < STALE:
+            self.warn(f"control plane: not heard for {self.age_ms / 1000:.0f} s; goes on with what it has")
+        elif self._warned and self.age_ms < STALE:
             self._warned = False
             self.say("control plane: up to date again")
 
     def _fenced(self) -> None:
-        if self.standing is not Standing.FENCED:
-            self.standing = Standing.FENCED
+        if self.presence_state is not PresenceState.FENCED:
+            self.presence_state = PresenceState.FENCED
             self.counters.add("observer.fenced")
             self.warn(f"control plane: fenced: another process has begun as {self.subscription.name}")
-            self.sink.fenced()
+            self.sink.handle_fenced()
 
     # -- what the member is told
 
@@ -313,7 +313,7 @@
         """Say what is in force, where that has changed since the last time."""
         if not self.subscribed or self._connection is None or self.current_at is None:
             return
-        report = self.sink.report(self.subscription.revision)
+        report = self.sink.build_report(self.subscription.revision)
         if self._reported is None or _matters(report, self._reported):
             self._reported = report
             self._send(report)
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -43,7 +43,7 @@
     result: bytes = b""
 
 
-class Outcomes:
+class OutcomeStore:
     """Implements `core.durability.DurableJobManager`. `keep`: ms for which an outcome is kept after a job's
     claim, or a little longer."""
 
@@ -167,7 +167,7 @@
         if request.job in self.claimed:
             send()
             return
-        if not self.lease_number or self.life.standing is not incarnation.Standing.HELD:
+        if not self.lease_number or self.life.claim_state is not incarnation.ClaimState.HELD:
             self.give_up(attempt)
             return
         name = self.name_of(request)
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -23,14 +23,14 @@
 from eiderpin.net.workers import HttpWorkers
 from eiderpin.parts.durable import Options
 
-UNREADABLE = (Locked, BadFormat, Damaged, BrokenRule, OSError)
+LEDGER_ERRORS = (Locked, BadFormat, Damaged, BrokenRule, OSError)
 ASK_EVERY = 100.0  # ms between looks whether our predecessor has given the ledger up ...
 ASK_AFTER_FAILURE = 5000.0  # ... and when it could not be read
 LIST_WITHIN = 3000.0  # ms in which the list must come before a ledger's jobs are taken up without it
 
 
-class Ownership:
-    """`shared`: an old or a new process may be beside us, and own it. Raises one of `UNREADABLE` where it
+class LedgerOwnership:
+    """`shared`: an old or a new process may be beside us, and own it. Raises one of `LEDGER_ERRORS` where it
     cannot be had."""
 
     def __init__(
@@ -56,7 +56,7 @@
         """Own the ledger and read it; one that the process beside us may own is asked for again later."""
         try:
             job_manager = JobManager(self.core, self.options, self.name)
-        except UNREADABLE as error:
+        except LEDGER_ERRORS as error:
             if not isinstance(error, Locked) or not self.shared:
                 raise
             if self.core.job_manager is None:
@@ -84,7 +84,7 @@
             self.keep_news()
             self.ask_at = self.loop.clock.now()
 
-    def turn(self) -> bool:
+    def run_turn(self) -> bool:
         """Once a turn of the loop; whether nothing is left to be done about it."""
         if self.loop.clock.now() >= self.ask_at:
             self._ask()
@@ -97,7 +97,7 @@
         self.ask_at = self.loop.clock.now() + ASK_EVERY
         try:
             self.open()
-        except UNREADABLE as error:
+        except LEDGER_ERRORS as error:
             self.warn(f"durable jobs are turned down: durable.directory {self.options.folder}: {error}")
             self.ask_at = self.loop.clock.now() + ASK_AFTER_FAILURE
             return
@@ -183,7 +183,7 @@
     # -- the end
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether jobs that it holds have been taken up, where it is ours."""
         return self.job_manager is None or self.job_manager.recovered
 
--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -12,9 +12,9 @@
 from eiderpin.core import learned as carried
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.core.learned import Learned
-from eiderpin.fleet.comeback import Comeback
+from eiderpin.fleet.comeback import RejoinProgress
 from eiderpin.fleet.followed_documents import FollowedDocuments
-from eiderpin.fleet.incarnation import Incarnation, Standing
+from eiderpin.fleet.incarnation import ClaimState, Incarnation
 from eiderpin.store import hints, presence
 from eiderpin.store.host import StoreHost
 from eiderpin.store.names import CURRENT, OBSERVERS, PRESENT, WORKER_ORDERS
@@ -27,7 +27,7 @@
 BEGIN_EVERY = (50.0, 150.0)  # ms between tries of a start, drawn from these so that many do not ask in step
 WITHIN = 900.0
 HINTS_WITHIN = 10_000.0  # ms after our start in which hints of what others have learned are taken
-LEARN_EVERY = 30_000.0  # ms between our own
+PUBLISH_HINT_INTERVAL_MS = 30_000.0  # ms between our own
 MOST_NAMED = 8  # dispatchers that one log line names
 
 
@@ -44,16 +44,16 @@
         self.live = LiveDispatchers()
         self.hint: tuple[float, Learned] | None = None  # the newest, until the workers are known
         self.hints_until = core.clock.now() + HINTS_WITHIN
-        self.learn_at = core.clock.now() + LEARN_EVERY
+        self.learn_at = core.clock.now() + PUBLISH_HINT_INTERVAL_MS
         token = f"{host.member.rng.getrandbits(64):016x}"
-        self.life = Incarnation(name, token, host.member.born.generation)
+        self.incarnation = Incarnation(name, token, host.member.born.generation)
         self.on_fenced: Callable[[], None] = lambda: None
-        self.comeback = Comeback(core.clock.now())
-        self.listed: Callable[[], bool] = lambda: False
+        self.rejoin = RejoinProgress(core.clock.now())
+        self.has_worker_list: Callable[[], bool] = lambda: False
         self.lease = 0
         self.told: dict[str, Any] = {}
         self.busy = False  # a command of ours is on its way
-        self.follow(self.life.document, lambda rest, value: None if rest else self.named())
+        self.follow(self.incarnation.document, lambda rest, value: None if rest else self.named())
         self.follow(WORKER_ORDERS, self.documents.take_order)
         # `CURRENT` itself is what holds; what is named below it is nobody's.
         self.follow(CURRENT, lambda rest, value: None if rest else self.documents.take_config(value))
@@ -91,19 +91,19 @@
     # -- which life of ours this is
 
     @property
-    def fenced(self) -> bool:
+    def is_fenced(self) -> bool:
         """Whether another process has our name."""
-        return self.life.standing is Standing.FENCED
+        return self.incarnation.claim_state is ClaimState.FENCED
 
     def our_document(self) -> tuple[bytes | None, int]:
         """What names the latest life by our name, and its revision, as our member has it."""
-        document = self.host.member.store.get(self.life.document)
+        document = self.host.member.store.get(self.incarnation.document)
         return (document.value, document.revision) if document is not None else (None, 0)
 
     def named(self, refused: bool = False) -> None:
         """The document of our name has changed, or our claim of it was `refused`."""
         value, revision = self.our_document()
-        if self.life.heard(value, revision, refused):
+        if self.incarnation.heard(value, revision, refused):
             self.tell_fenced()
 
     def tell_fenced(self) -> None:
@@ -119,20 +119,20 @@
         def read(error: Exception | None) -> None:
             self.busy = False
             if error is None:
-                self.life.read(self.our_document()[1])
+                self.incarnation.read(self.our_document()[1])
                 self.step()
 
         def claimed(answer: Answer) -> None:
             self.named(refused=not answer.ok)
-            if self.life.standing is Standing.HELD:
-                self.say(f"store: this is {self.name}/{self.life}")
+            if self.incarnation.claim_state is ClaimState.HELD:
+                self.say(f"store: this is {self.name}/{self.incarnation}")
                 self.step()  # each step of a start follows the one before at once
 
-        if self.life.seen is None:
+        if self.incarnation.seen is None:
             self.busy = True
             member.read(read, now, WITHIN)
         else:
-            self.submit(self.life.claim(), claimed)
+            self.submit(self.incarnation.claim(), claimed)
 
     # -- what has been learned
 
@@ -156,13 +156,13 @@
             self.core.apply_learned(self.hint[1])
             self.hint = None
             self.host.counters.add("store.hints")
-        if now < self.learn_at or self.busy or self.life.standing is not Standing.HELD:
+        if now < self.learn_at or self.busy or self.incarnation.claim_state is not ClaimState.HELD:
             return
-        self.learn_at = now + LEARN_EVERY
+        self.learn_at = now + PUBLISH_HINT_INTERVAL_MS
         value = hints.pack(carried.collect(self.core.module), now)
         if value is not None:
             put = Put(f"{hints.PREFIX}{self.name}", value)
-            self.submit(self.life.guarded(Transaction([put])), lambda answer: None)
+            self.submit(self.incarnation.guarded(Transaction([put])), lambda answer: None)
 
     # -- who is there
 
@@ -192,9 +192,9 @@
 
     def beat(self) -> None:
         """Hold our lease, and keep what is said of us true."""
-        wait = KEEP_EVERY if self.told or self.fenced else self.host.member.rng.uniform(*BEGIN_EVERY)
+        wait = KEEP_EVERY if self.told or self.is_fenced else self.host.member.rng.uniform(*BEGIN_EVERY)
         self.core.deadlines.set(self.core.clock.now() + wait, self.beat)
-        if self.host.replaced and self.life.replaced():
+        if self.host.replaced and self.incarnation.replaced():
             self.tell_fenced()
         self.learn()
         self.step()
@@ -202,9 +202,9 @@
     def step(self) -> None:
         """The next thing that is to be said to the store."""
         self.come_back()
-        if self.busy or self.host.member.failed or self.fenced:
+        if self.busy or self.host.member.failed or self.is_fenced:
             return
-        if self.life.standing is Standing.UNKNOWN:
+        if self.incarnation.claim_state is ClaimState.UNKNOWN:
             self.begin()
             return
         about = self.all_about()
@@ -217,22 +217,22 @@
 
     def stage(self) -> str:
         """How far our start has come."""
-        return self.comeback.stage(self.core.clock.now()).value
+        return self.rejoin.stage(self.core.clock.now()).value
 
     def come_back(self) -> None:
         """Note how far our start has come, and tell of its end."""
-        now, caught_up = self.core.clock.now(), self.life.seen is not None
-        if self.comeback.note(now, self.listed(), caught_up, bool(self.told)):
-            took = self.comeback.took()
+        now, caught_up = self.core.clock.now(), self.incarnation.seen is not None
+        if self.rejoin.note(now, self.has_worker_list(), caught_up, bool(self.told)):
+            took = self.rejoin.took()
             for step, ms in took.items():
                 self.host.counters.add(f"comeback.{step}_ms", ms)
             steps = ", ".join(f"{step} after {ms} ms" for step, ms in took.items())
-            self.say(f"store: {self.name}/{self.life} is whole: {steps}")
+            self.say(f"store: {self.name}/{self.incarnation} is whole: {steps}")
 
     def all_about(self) -> dict[str, Any]:
         """What others are told of us."""
-        about = {**self.about(), "config": str(self.documents.config), "incarnation": str(self.life)}
-        return about | {"stage": self.stage(), "took": self.comeback.took()}
+        about = {**self.about(), "config": str(self.documents.config), "incarnation": str(self.incarnation)}
+        return about | {"stage": self.stage(), "took": self.rejoin.took()}
 
     def submit(self, op: Operation, done: Callable[[Answer], None]) -> None:
         """Have one command of ours carried out; nothing follows where nobody knows its answer."""
@@ -262,8 +262,8 @@
                 self.told = about
 
         put = Put(f"{PRESENT}{self.name}", orjson.dumps(about), self.lease)
-        if not self.fenced:
-            self.submit(self.life.guarded(Transaction([put])), done)
+        if not self.is_fenced:
+            self.submit(self.incarnation.guarded(Transaction([put])), done)
 
     def kept(self, answer: Answer) -> None:
         """Our lease was renewed, or has ended."""
--- a/eiderpin/fleet/subscription.py
+++ b/eiderpin/fleet/subscription.py
@@ -49,21 +49,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Updated:
+class DocumentsChanged:
     """Documents have changed; `events` are in order, and all are part of the copy already."""
 
     events: list[Event]
 
 
 @dataclass(slots=True, frozen=True)
-class Current:
+class UpToDate:
     """The copy has all that the member had a moment ago. `stale_ms`: how old that may be."""
 
     stale_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Placed:
+class Placement:
     """So many dispatchers are live, and this is the one with that number, from 0."""
 
     instances: int
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
+class PresenceConfirmed:
     """All others know that this observer is live."""
 
 
@@ -95,7 +95,7 @@
     message: Pong
 
 
-Update: TypeAlias = Updated | Current | Placed | Known | FencedOut | Refused | Reply
+Update: TypeAlias = DocumentsChanged | UpToDate | Placement | PresenceConfirmed | FencedOut | Refused | Reply
 
 
 class Subscription:
@@ -146,7 +146,7 @@
             self.revision,
         )
 
-    def received(self, message: FromMember) -> list[Update]:
+    def handle_message(self, message: FromMember) -> list[Update]:
         """Take a member's message.
 
         Raises:
@@ -166,10 +166,10 @@
         if isinstance(message, Ping):
             return self._take_ping(message)
         if isinstance(message, Fleet):
-            return [Placed(message.instances, message.instance)]
+            return [Placement(message.instances, message.instance)]
         if isinstance(message, Announced):
             self.epoch = message.epoch
-            return [Known()]
+            return [PresenceConfirmed()]
         assert isinstance(message, Fenced)
         return [FencedOut()]
 
@@ -209,7 +209,7 @@
         self.documents, self.digest = new, DocumentDigest(documents)
         self.generation, self.revision = generation, revision
         self._distrusted = self._snapshot_due = False
-        return [Updated(events), Current(0.0)]
+        return [DocumentsChanged(events), UpToDate(0.0)]
 
     def _take_changes(self, changes: Changes) -> list[Update]:
         if changes.base > self.revision:
@@ -225,7 +225,7 @@
         for event in events:
             self._apply(event)
         self.revision = max(self.revision, changes.revision)
-        return [Updated(events)] if events else []
+        return [DocumentsChanged(events)] if events else []
 
     def _apply(self, event: Event) -> None:
         self.digest.apply(event)
@@ -245,4 +245,4 @@
             self._distrusted = True
             raise SubscriptionError(Violation.DIGEST, f"the copy differs at revision {self.revision}")
         self.revision = max(self.revision, ping.revision)
-        return [reply, Current(ping.stale_ms)]
+        return [reply, UpToDate(ping.stale_ms)]
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -37,9 +37,9 @@
 from eiderpin.shutdown import Shutdown
 
 if TYPE_CHECKING:
-    from eiderpin.fleet.comeback import Comeback
+    from eiderpin.fleet.comeback import RejoinProgress
     from eiderpin.fleet.control_plane import ControlPlane
-    from eiderpin.fleet.ownership import Ownership
+    from eiderpin.fleet.ownership import LedgerOwnership
     from eiderpin.fleet.shared_state import SharedState
     from eiderpin.net.agent_check import AgentCheck
     from eiderpin.net.gearman_front import GearmanFront
@@ -146,7 +146,7 @@
         if config.follow is not None:
             self.follow_store(config.follow)
 
-    def own_ledger(self, options: Options) -> Ownership:
+    def own_ledger(self, options: Options) -> LedgerOwnership:
         """Raises `ConfigError` where the ledger of durable jobs cannot be had."""
         try:
             from eiderpin.fleet import ownership
@@ -155,11 +155,11 @@
             raise ConfigError(text) from None
         shared = self.config.inherited is not None
         try:
-            return ownership.Ownership(
+            return ownership.LedgerOwnership(
                 self.loop, self.core, self.workers, options, self.config.name, shared, self.say,
                 lambda text: logs.event(text, logging.ERROR),
             )  # fmt: skip
-        except ownership.UNREADABLE as error:
+        except ownership.LEDGER_ERRORS as error:
             raise ConfigError(f"durable.directory {options.folder}: {error}") from None
 
     def keep_store(self, options: StoreOptions) -> None:
@@ -202,12 +202,12 @@
             self.serve_observers(self.store, options)
         self.shared_state.on_fenced = self.changed
         source = self.discovery
-        self.shared_state.listed = lambda: source is None or source.has_answered
+        self.shared_state.has_worker_list = lambda: source is None or source.has_answered
         if options.outcomes:
-            from eiderpin.fleet.outcomes import Outcomes
+            from eiderpin.fleet.outcomes import OutcomeStore
 
-            life = self.shared_state.life
-            self.core.job_manager = Outcomes(self.store, self.core, options.outcomes, options.keep, life)
+            life = self.shared_state.incarnation
+            self.core.job_manager = OutcomeStore(self.store, self.core, options.outcomes, options.keep, life)
 
     def serve_observers(self, store: StoreHost, options: StoreOptions) -> None:
         """Serve dispatchers that follow the store. Raises `ConfigError`."""
@@ -344,7 +344,7 @@
         """Whether another process has begun by our name in the store."""
         if self.control_plane is not None and self.control_plane.is_fenced:
             return True
-        return self.shared_state is not None and self.shared_state.fenced
+        return self.shared_state is not None and self.shared_state.is_fenced
 
     # -- what balancers and operators ask
 
@@ -355,7 +355,7 @@
             return self.handover.successor.readiness
         if self.drained or self.fenced or self.shutdown.begun:
             return "drain"
-        if self.ledger is not None and not self.ledger.ready:
+        if self.ledger is not None and not self.ledger.is_ready:
             return "down"
         if not self.serving or not any(e.in_service for e in self.core.endpoints.values()):
             return "down"
@@ -363,19 +363,19 @@
         free = 100 - 100 * len(self.core.requests) // most
         comeback = self.comeback
         if comeback is not None:  # one that comes back asks for less until it knows enough
-            free = free * comeback.share(self.clock.now()) // 100
+            free = free * comeback.traffic_percent(self.clock.now()) // 100
         return f"up {max(1, free)}%"
 
     @property
-    def comeback(self) -> Comeback | None:
+    def comeback(self) -> RejoinProgress | None:
         """The stages of our start, where we have a part in the store."""
         if self.control_plane is not None:
-            return self.control_plane.comeback
-        return self.shared_state.comeback if self.shared_state is not None else None
+            return self.control_plane.rejoin
+        return self.shared_state.rejoin if self.shared_state is not None else None
 
     def health(self) -> str:
         """What `/_health` says: the readiness, and how old what we know of the control plane is."""
-        detail = self.control_plane.detail() if self.control_plane is not None else ""
+        detail = self.control_plane.readiness_detail() if self.control_plane is not None else ""
         return self.readiness() + detail
 
     def ready(self) -> str:
@@ -385,7 +385,7 @@
         if self.store is not None and self.store.cut_off:
             state += ", cut off from the store"
         if self.control_plane is not None:
-            state += self.control_plane.detail()
+            state += self.control_plane.readiness_detail()
         comeback = self.comeback
         if comeback is not None and (stage := comeback.stage(self.clock.now()).value) != "whole":
             state += f", coming back: {stage}"
@@ -487,7 +487,7 @@
     def print_counters(self) -> None:
         """Print all counters on standard error, as SIGUSR1 asks for."""
         if self.control_plane is not None:
-            self.counters.counts["observer.age_ms"] = int(self.control_plane.observer.age)
+            self.counters.counts["observer.age_ms"] = int(self.control_plane.observer.age_ms)
         if self.discovery is not None:
             self.counters.counts["discovery.list_age_ms"] = int(self.discovery.list_age_ms)
         lines = ["counters", *self.counters.lines(), "end of counters"]
@@ -505,7 +505,7 @@
             self.begin()
         rests = self.serving and not begun and self.shutdown.handed_over_at is None
         if self.ledger is not None:
-            rests = self.ledger.turn() and rests
+            rests = self.ledger.run_turn() and rests
         self.loop.run_once(self.after_turn, 1000.0 if rests else 20.0)
 
     def after_turn(self) -> None:
--- a/eiderpin/shutdown.py
+++ b/eiderpin/shutdown.py
@@ -17,7 +17,7 @@
 from eiderpin.net.workers import HttpWorkers
 
 if TYPE_CHECKING:
-    from eiderpin.fleet.ownership import Ownership
+    from eiderpin.fleet.ownership import LedgerOwnership
     from eiderpin.net.gearman_front import GearmanFront
     from eiderpin.net.handover import Handover
 
@@ -39,7 +39,7 @@
         http_front: HttpFront,
         gearman: GearmanFront | None,
         workers: HttpWorkers,
-        ledger: Ownership | None,
+        ledger: LedgerOwnership | None,
     ) -> None:
         self.core, self.http_front, self.gearman, self.workers = core, http_front, gearman, workers
         self.ledger = ledger
--- a/tests/observer_sim.py
+++ b/tests/observer_sim.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from eiderpin.core.counters import Counters
-from eiderpin.fleet.observer import Observer, Standing
+from eiderpin.fleet.observer import Observer, PresenceState
 from eiderpin.fleet.subscription import Subscription
 from eiderpin.net.loop import Connection, Loop
 from eiderpin.parts.observer import Endpoint
@@ -205,19 +205,19 @@
             self, random.Random(world.rng.random()), lambda text: None, lambda text: None,
         )  # fmt: skip
 
-    def changed(self, events: list[Event]) -> None:
+    def apply_events(self, events: list[Event]) -> None:
         if self.copy.position < self.highest:
             raise Broken(f"{self.name} goes back from {self.highest} to {self.copy.position}")
         self.highest = self.copy.position
         self.world.compare(self.name, self.copy)
 
-    def placed(self, instances: int, instance: int) -> None:
+    def set_placement(self, instances: int, instance: int) -> None:
         self.place = (instances, instance)
 
-    def fenced(self) -> None:
+    def handle_fenced(self) -> None:
         pass
 
-    def report(self, revision: int) -> Report:
+    def build_report(self, revision: int) -> Report:
         return Report(revision, 0, "none", "", b"{}")
 
 
@@ -353,11 +353,11 @@
             newest = next(r for r, image in self.images if image == last[1])
             if follower.copy.revision < newest or not follower.observer.subscribed:
                 raise Broken(f"{name} is at {follower.copy.revision}; {newest} is the last change")
-            if follower.observer.standing is not Standing.KNOWN:
-                raise Broken(f"{name} is {follower.observer.standing.value}")
+            if follower.observer.presence_state is not PresenceState.KNOWN:
+                raise Broken(f"{name} is {follower.observer.presence_state.value}")
         for follower in self.doomed:
-            if follower.process.alive and follower.observer.standing is not Standing.FENCED:
-                raise Broken(f"the earlier {follower.name} is {follower.observer.standing.value}")
+            if follower.process.alive and follower.observer.presence_state is not PresenceState.FENCED:
+                raise Broken(f"the earlier {follower.name} is {follower.observer.presence_state.value}")
         ranked = sorted(self.followers)
         for place, name in enumerate(ranked):
             if self.followers[name].place != (len(ranked), place):
@@ -442,7 +442,7 @@
         at if it was known to all, for one that was never announced may come to be the later one."""
         world = self.world
         old = world.followers[name]
-        if old.observer.standing is not Standing.KNOWN or world.now < old.process.frozen_until:
+        if old.observer.presence_state is not PresenceState.KNOWN or world.now < old.process.frozen_until:
             return
         old.process.frozen_until = world.now + 4000.0
         world.doomed.append(old)
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.store_rig import Cluster
-from eiderpin.fleet.comeback import ALONE, Comeback, Stage
+from eiderpin.fleet.comeback import ALONE, RejoinProgress, Stage
 from tests.standins import HttpWorker, wait_for
 from tests.test_command import eiderpin
 from tests.test_incarnation import door, list_worker
@@ -28,22 +28,22 @@
 def test_what_is_known_says_what_is_asked_for(
     listed: bool, caught_up: bool, known: bool, stage: Stage, share: int
 ) -> None:
-    start = Comeback(1000.0)
+    start = RejoinProgress(1000.0)
     assert start.note(1100.0, listed, caught_up, known) is (stage is Stage.WHOLE)
-    assert (start.stage(1100.0), start.share(1100.0)) == (stage, share)
+    assert (start.stage(1100.0), start.traffic_percent(1100.0)) == (stage, share)
 
 
 def test_serving_does_not_wait_for_the_store_for_ever() -> None:
-    start = Comeback(1000.0)
+    start = RejoinProgress(1000.0)
     start.note(1100.0, True, False, False)
     assert start.stage(999.0 + ALONE) is Stage.LISTED
-    assert (start.stage(1000.0 + ALONE), start.share(1000.0 + ALONE)) == (Stage.ALONE, 100)
+    assert (start.stage(1000.0 + ALONE), start.traffic_percent(1000.0 + ALONE)) == (Stage.ALONE, 100)
     assert start.age("caught_up", 1000.0 + ALONE) == float("inf")  # its orders are of any age
     assert start.note(20_000.0, True, True, True)  # it comes in late
 
 
 def test_each_step_counts_from_its_first_time_and_the_end_is_told_once() -> None:
-    start = Comeback(1000.0)
+    start = RejoinProgress(1000.0)
     start.note(1100.0, True, False, False)
     start.note(1300.0, True, True, False)
     assert start.note(1400.0, True, True, True) and not start.note(1500.0, True, True, True)
--- a/tests/test_incarnation.py
+++ b/tests/test_incarnation.py
@@ -14,7 +14,7 @@
 
 from benchmarks.rig import free_port
 from benchmarks.store_rig import Cluster, Process
-from eiderpin.fleet.incarnation import PREFIX, Incarnation, Standing, holds
+from eiderpin.fleet.incarnation import PREFIX, ClaimState, Incarnation, holds
 from eiderpin.store.state import Command, Put, Store, Transaction
 from tests.standins import HttpWorker, http_call, wait_for
 
@@ -51,14 +51,14 @@
 def test_each_life_has_an_incarnation_of_its_own_and_the_latest_counts() -> None:
     lives = Lives()
     first, second = lives.begin("one"), lives.begin("two")
-    assert str(first) != str(second) and first.standing is second.standing is Standing.HELD
+    assert str(first) != str(second) and first.claim_state is second.claim_state is ClaimState.HELD
     assert lives.apply(second.guarded(PUT))
     assert not lives.apply(first.guarded(PUT))  # before it has heard of anything
-    assert lives.settle(first, True) and first.standing is Standing.FENCED
+    assert lives.settle(first, True) and first.claim_state is ClaimState.FENCED
     assert not lives.settle(first, True)  # once is enough
     with pytest.raises(ValueError, match="fenced"):
         first.guarded(PUT)
-    assert not lives.settle(second, True) and second.standing is Standing.HELD
+    assert not lives.settle(second, True) and second.claim_state is ClaimState.HELD
 
 
 def test_of_two_that_begin_at_once_one_is_fenced() -> None:
@@ -68,7 +68,7 @@
         life.read(lives.revision())
     assert not lives.settle(one, lives.apply(one.claim()))
     assert lives.settle(two, lives.apply(two.claim()))
-    assert (one.standing, two.standing) == (Standing.HELD, Standing.FENCED)
+    assert (one.claim_state, two.claim_state) == (ClaimState.HELD, ClaimState.FENCED)
 
 
 def test_a_claim_whose_answer_was_lost_is_asked_for_again_without_harm() -> None:
@@ -77,7 +77,7 @@
     life.read(lives.revision())
     assert lives.apply(life.claim())  # nobody told us
     assert not lives.settle(life, lives.apply(life.claim()))
-    assert life.standing is Standing.HELD and lives.apply(life.guarded(PUT))
+    assert life.claim_state is ClaimState.HELD and lives.apply(life.guarded(PUT))
 
 
 def test_one_that_was_frozen_on_its_claim_does_not_take_the_name_from_its_successor() -> None:
@@ -86,18 +86,20 @@
     frozen.read(lives.revision())
     successor = lives.begin("successor")
     assert lives.settle(frozen, lives.apply(frozen.claim()))
-    assert frozen.standing is Standing.FENCED
+    assert frozen.claim_state is ClaimState.FENCED
     assert lives.apply(successor.guarded(PUT))
 
 
 def test_an_earlier_lifes_document_heard_late_fences_nobody() -> None:
     life = Incarnation("d1", "now", 1)
     life.heard(orjson.dumps({"token": "before"}), 7)
-    assert life.standing is Standing.UNKNOWN
+    assert life.claim_state is ClaimState.UNKNOWN
     life.heard(orjson.dumps({"token": "now"}), 9)
     life.heard(orjson.dumps({"token": "before"}), 7)
-    assert life.standing is Standing.HELD
-    assert life.heard(None, 0) or life.standing is Standing.FENCED  # somebody took it away: nothing holds
+    assert life.claim_state is ClaimState.HELD
+    assert (
+        life.heard(None, 0) or life.claim_state is ClaimState.FENCED
+    )  # somebody took it away: nothing holds
 
 
 def test_what_names_its_writer_holds_for_its_latest_life_alone() -> None:
--- a/tests/test_observer_rules.py
+++ b/tests/test_observer_rules.py
@@ -9,18 +9,18 @@
 import msgspec
 
 from eiderpin.fleet.backoff import FullJitter
-from eiderpin.fleet.member_choice import AVOID_LONGEST, MemberChoice
+from eiderpin.fleet.member_choice import MAX_AVOID_MS, MemberChoice
 from eiderpin.fleet.subscription import (
-    Current,
+    DocumentsChanged,
     FencedOut,
-    Known,
-    Placed,
+    Placement,
+    PresenceConfirmed,
     Refused,
     Reply,
     Subscription,
     SubscriptionError,
     Update,
-    Updated,
+    UpToDate,
     Violation,
 )
 from eiderpin.parts.observer import Endpoint
@@ -72,11 +72,11 @@
     """A copy with one document at a position, on a new connection that has brought these messages."""
     copy = Subscription("c1", "o1", "token")
     copy.subscribe()
-    copy.received(Accepted(VERSION, "m0", at[0], False))
-    copy.received(SnapshotPage(at[1], [Document(ORDER, b"old", 7, 7)], True, True))
+    copy.handle_message(Accepted(VERSION, "m0", at[0], False))
+    copy.handle_message(SnapshotPage(at[1], [Document(ORDER, b"old", 7, 7)], True, True))
     copy.subscribe()
     for message in messages:
-        copy.received(message)
+        copy.handle_message(message)
     return copy
 
 
@@ -109,7 +109,7 @@
                 copy = subscribed(*messages[:-1])
                 before = (copy.position, dict(copy.documents))
                 with self.assertRaises(SubscriptionError) as caught:
-                    copy.received(messages[-1])
+                    copy.handle_message(messages[-1])
                 self.assertIs(caught.exception.violation, violation)
                 self.assertEqual((copy.position, copy.documents), before)
 
@@ -118,49 +118,55 @@
         old = Event(9, ORDER, b"older")
         gone = Event(12, ORDER, None)
         cases: list[tuple[str, list[FromMember], list[Update], tuple[int, int]]] = [
-            ("changes", [RESUMED, Changes(10, 11, [event])], [Updated([event])], (1, 11)),
-            ("some known already", [RESUMED, Changes(8, 11, [old, event])], [Updated([event])], (1, 11)),
+            ("changes", [RESUMED, Changes(10, 11, [event])], [DocumentsChanged([event])], (1, 11)),
+            (
+                "some known already",
+                [RESUMED, Changes(8, 11, [old, event])],
+                [DocumentsChanged([event])],
+                (1, 11),
+            ),
             ("all known already", [RESUMED, Changes(8, 10, [old])], [], (1, 10)),
-            ("a deletion", [RESUMED, Changes(10, 12, [gone])], [Updated([gone])], (1, 12)),
-            ("a ping", [RESUMED, Ping(3, 15, 5.0)], [Reply(Pong(3)), Current(5.0)], (1, 15)),
+            ("a deletion", [RESUMED, Changes(10, 12, [gone])], [DocumentsChanged([gone])], (1, 12)),
+            ("a ping", [RESUMED, Ping(3, 15, 5.0)], [Reply(Pong(3)), UpToDate(5.0)], (1, 15)),
             ("a ping while it waits", [SNAPSHOT, Ping(3, -1, 5.0)], [Reply(Pong(3))], (1, 10)),
             ("a rejection", [Rejected("full", "x")], [Refused("full", "x")], (1, 10)),
-            ("its place", [RESUMED, Fleet(9, 3)], [Placed(9, 3)], (1, 10)),
-            ("known to all", [RESUMED, Announced(8)], [Known()], (1, 10)),
+            ("its place", [RESUMED, Fleet(9, 3)], [Placement(9, 3)], (1, 10)),
+            ("known to all", [RESUMED, Announced(8)], [PresenceConfirmed()], (1, 10)),
             ("fenced", [RESUMED, Fenced()], [FencedOut()], (1, 10)),
         ]
         for what, messages, updates, position in cases:
             with self.subTest(what):
                 copy = subscribed(*messages[:-1])
-                self.assertEqual(copy.received(messages[-1]), updates)
+                self.assertEqual(copy.handle_message(messages[-1]), updates)
                 self.assertEqual(copy.position, position)
 
     def test_a_snapshot_tells_only_what_differs_and_goes_over_generations(self) -> None:
         copy = subscribed(Accepted(VERSION, "m0", 2, False))
         same = Document(ORDER, b"old", 3, 3)
         new = Document(CURRENT, b"1\n{}", 4, 4)
-        self.assertEqual(copy.received(SnapshotPage(5, [new], True, False)), [])
-        updates = copy.received(SnapshotPage(5, [same], False, True))
-        self.assertEqual(updates, [Updated([Event(4, CURRENT, b"1\n{}")]), Current(0.0)])
+        self.assertEqual(copy.handle_message(SnapshotPage(5, [new], True, False)), [])
+        updates = copy.handle_message(SnapshotPage(5, [same], False, True))
+        self.assertEqual(updates, [DocumentsChanged([Event(4, CURRENT, b"1\n{}")]), UpToDate(0.0)])
         self.assertEqual(copy.position, (2, 5))
         copy.subscribe()
-        copy.received(Accepted(VERSION, "m0", 2, False))
+        copy.handle_message(Accepted(VERSION, "m0", 2, False))
         self.assertEqual(
-            copy.received(SnapshotPage(6, [new], True, True))[0], Updated([Event(6, ORDER, None)])
+            copy.handle_message(SnapshotPage(6, [new], True, True))[0],
+            DocumentsChanged([Event(6, ORDER, None)]),
         )
 
     def test_a_copy_that_differs_is_asked_for_anew_and_never_goes_back(self) -> None:
         copy = subscribed(RESUMED)
         with self.assertRaises(SubscriptionError):
-            copy.received(Ping(1, 10, 0.0, copy.digest.value + 1))
+            copy.handle_message(Ping(1, 10, 0.0, copy.digest.value + 1))
         asked = copy.subscribe()
         self.assertEqual((asked.generation, asked.revision), (0, 0))
         self.assertEqual((asked.floor_generation, asked.floor_revision), (1, 10))
         with self.assertRaises(SubscriptionError):
-            copy.received(RESUMED)
+            copy.handle_message(RESUMED)
         copy.subscribe()
-        copy.received(SNAPSHOT)
-        copy.received(SnapshotPage(10, [Document(ORDER, b"right", 8, 8)], True, True))
+        copy.handle_message(SNAPSHOT)
+        copy.handle_message(SnapshotPage(10, [Document(ORDER, b"right", 8, 8)], True, True))
         self.assertEqual(copy.documents[ORDER].value, b"right")
         self.assertEqual(copy.subscribe().revision, 10)
 
@@ -310,7 +316,7 @@
         for message in sent:
             assert isinstance(message, Changes)
             self.assertLessEqual(len(message.events), 2)
-            copy.received(message)
+            copy.handle_message(message)
         self.assertEqual((len(sent), copy.position), (3, (1, 7)))
         one = self.store.apply(
             Command("", 0, Transaction([Put(f"{WORKER_ORDERS}w{n}", big) for n in range(3)]))
@@ -331,7 +337,7 @@
         (page,) = [e.message for e in self.sessions.tick(0.0, 0, 0.0) if isinstance(e, Send)]
         assert isinstance(page, SnapshotPage)
         copy = subscribed(RESUMED, at=(1, 1))  # it was told that it resumes, and takes the snapshot as well
-        copy.received(page)
+        copy.handle_message(page)
         self.assertEqual((copy.position, copy.documents[ORDER].revision), ((1, 10), 10))
 
     def test_one_that_leaves_is_forgotten(self) -> None:
@@ -396,20 +402,20 @@
         self.assertEqual(choice.best(2000.0), first)
         for _ in range(9):
             choice.avoid(first.member, 0.0)
-        self.assertNotEqual(choice.best(AVOID_LONGEST / 2 - 1), first)
-        self.assertEqual(choice.best(AVOID_LONGEST), first)
+        self.assertNotEqual(choice.best(MAX_AVOID_MS / 2 - 1), first)
+        self.assertEqual(choice.best(MAX_AVOID_MS), first)
         for endpoint in self.MEMBERS:
             choice.avoid(endpoint.member, 0.0)
         self.assertIsNone(choice.best(100.0))
-        self.assertNotEqual(choice.next(100.0), first)  # the others' times are over sooner
-        choice.succeeded(first.member)
+        self.assertNotEqual(choice.next_member(100.0), first)  # the others' times are over sooner
+        choice.clear_avoidance(first.member)
         self.assertEqual(choice.best(100.0), first)
 
     def test_waits_are_drawn_from_zero_to_a_bound_that_doubles(self) -> None:
         waits = []
         for seed in range(400):
             jitter = FullJitter(random.Random(seed), 100.0, 800.0)
-            waits.append([jitter.next() for _ in range(6)])
+            waits.append([jitter.next_wait_ms() for _ in range(6)])
         for step, bound in enumerate((100.0, 200.0, 400.0, 800.0, 800.0, 800.0)):
             drawn = sorted(w[step] for w in waits)
             self.assertTrue(drawn[0] < 0.05 * bound and 0.95 * bound < drawn[-1] <= bound)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -568,7 +568,7 @@
 
 class Hints(unittest.TestCase):
     def test_what_was_learned_is_there_after_a_restart(self) -> None:
-        quick = "from eiderpin.fleet import shared_state\nshared_state.LEARN_EVERY = 300.0"
+        quick = "from eiderpin.fleet import shared_state\nshared_state.PUBLISH_HINT_INTERVAL_MS = 300.0"
         with tempfile.TemporaryDirectory() as folder:
             worker, one = HttpWorker("w1"), Process(Path(folder), "solo", {}, "")
             one.parts["store"] = {"directory": str(one.directory)}
