--- a/eiderpin/fleet/member_choice.py
+++ b/eiderpin/fleet/member_choice.py
@@ -64,7 +64,7 @@
                 return endpoint
         return None
 
-    def next(self, now: float) -> MemberEndpoint:
+    def next_member(self, now: float) -> MemberEndpoint:
         """The member to try now: the best, or the one whose time is over soonest."""
         best = self.best(now)
         if best is not None:
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -148,7 +148,7 @@
         if config.follow is not None:
             self.follow_store(config.follow)
 
-    def own_ledger(self, options: DurableOptions) -> Ownership:
+    def own_ledger(self, options: DurableOptions) -> LedgerOwnership:
         """Raises `ConfigError` where the ledger of durable jobs cannot be had."""
         try:
             from eiderpin.fleet import ownership
@@ -208,8 +208,10 @@
         if options.outcomes:
             from eiderpin.fleet.outcomes import OutcomeStore
 
-            life = self.shared_state.life
-            self.core.job_manager = Outcomes(self.store, self.core, options.outcomes, options.keep_ms, life)
+            life = self.shared_state.incarnation
+            self.core.job_manager = OutcomeStore(
+                self.store, self.core, options.outcomes, options.keep_ms, life
+            )
 
     def serve_observers(self, store: StoreHost, options: StoreOptions) -> None:
         """Serve dispatchers that follow the store. Raises `ConfigError`."""
