--- a/benchmarks/scale/bad_input.py
+++ b/benchmarks/scale/bad_input.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from eiderpin.store.framing import Frames, frame
+from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.observer_protocol import FROM_MEMBER, MAGIC, VERSION, Pong, Rejected, Subscribe
 
 WAIT = 8.0  # s for an end, before it is said that there was none
@@ -29,7 +29,7 @@
 def subscribe(name: str, **changed: Any) -> bytes:
     """The beginning of a good observer, with some fields changed."""
     asked = Subscribe(VERSION, "c1", name, "0123456789abcdef", 1)
-    return MAGIC + frame(msgspec.structs.replace(asked, **changed))
+    return MAGIC + encode_frame(msgspec.structs.replace(asked, **changed))
 
 
 def client(host: str, port: int, said: bytes, reads: bool = True) -> Ended:
@@ -37,7 +37,7 @@
     with socket.create_connection((host, port), 5.0) as sock:
         begun = time.monotonic()
         sock.sendall(said)
-        frames, kind = Frames(b""), ""
+        frames, kind = FrameDecoder(b""), ""
         while (left := begun + WAIT - time.monotonic()) > 0:
             if not reads:  # an end is seen without reading
                 poll = select.poll()
@@ -86,7 +86,7 @@
     "garbage": lambda host, port: client(host, port, b"GET / HTTP/1.1\r\n\r\n"),
     "oversized frame": lambda host, port: client(host, port, MAGIC + struct.pack(">I", GIGABYTE)),
     "no message": lambda host, port: client(host, port, MAGIC + struct.pack(">I", 3) + b"\xc1\xc1\xc1"),
-    "no Subscribe": lambda host, port: client(host, port, MAGIC + frame(Pong(1))),
+    "no Subscribe": lambda host, port: client(host, port, MAGIC + encode_frame(Pong(1))),
     "a revision from the future": lambda host, port: client(
         host, port, subscribe("bad-1", floor_generation=1, floor_revision=1 << 40)
     ),
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -26,12 +26,12 @@
 from benchmarks.rig import free_port
 from benchmarks.store_rig import Cluster, Process
 from eiderpin.store.client import Failed, StoreClient
-from eiderpin.store.member import TICK
-from eiderpin.store.raft import ELECTION
+from eiderpin.store.member import TICK_MS
+from eiderpin.store.raft import ELECTION_TICKS
 
 VALUE = b"x" * 200
 ENTRY_BYTES = 280  # on disk, for a put of `VALUE`
-TIME_OUT = ELECTION * TICK / 1000  # s
+TIME_OUT = ELECTION_TICKS * TICK_MS / 1000  # s
 
 
 def puts(cluster: Cluster, total: int, clients: int, lead: str) -> dict[str, float]:
--- a/eiderpin/fleet/observer.py
+++ b/eiderpin/fleet/observer.py
@@ -31,7 +31,7 @@
 )
 from eiderpin.net.loop import Connection, Loop
 from eiderpin.parts.observer import Endpoint
-from eiderpin.store.framing import Frames, frame
+from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.observer_protocol import FROM_MEMBER, MAGIC, Leave, Rejection, Report
 from eiderpin.store.state import Event
 
@@ -144,8 +144,8 @@
             return
         self.counters.add("observer.connects")
         self._connection = connection
-        frames = Frames(b"")
-        connection.on_open = lambda: connection.write(MAGIC + frame(self.subscription.subscribe()))
+        frames = FrameDecoder(b"")
+        connection.on_open = lambda: connection.write(MAGIC + encode_frame(self.subscription.subscribe()))
         connection.on_data = lambda data: self._received(connection, frames, data)
         connection.on_end = self._lost
         self._expect(ACCEPT_WITHIN)
@@ -207,7 +207,7 @@
 
     # -- what the member says
 
-    def _received(self, connection: Connection, frames: Frames, data: bytes) -> None:
+    def _received(self, connection: Connection, frames: FrameDecoder, data: bytes) -> None:
         try:
             messages = [FROM_MEMBER.decode(body) for body in frames.feed(data)]
             for message in messages:
@@ -307,7 +307,7 @@
 
     def _send(self, message: msgspec.Struct) -> None:
         if self._connection is not None:
-            self._connection.write(frame(message))
+            self._connection.write(encode_frame(message))
 
     def _report(self) -> None:
         """Say what is in force, where that has changed since the last time."""
@@ -330,7 +330,7 @@
             self.loop.deadlines.drop(deadline)
         connection = self._connection
         if connection is not None:
-            connection.write(frame(Leave()))
+            connection.write(encode_frame(Leave()))
             connection.close_when_sent()
 
 
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -151,7 +151,7 @@
     def accept(self, request: Request) -> bool:
         """Take a job on; whether it is one whose outcome is kept."""
         claim = self.claim_of(request)
-        if self.host.member.failed or (claim is not None and claim.by != self.me):
+        if self.host.member.disk_failed or (claim is not None and claim.by != self.me):
             return False
         self.number += 1
         request.job = self.number
--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -46,7 +46,7 @@
         self.hints_until = core.clock.now() + HINTS_WITHIN
         self.learn_at = core.clock.now() + LEARN_EVERY
         token = f"{host.member.rng.getrandbits(64):016x}"
-        self.life = Incarnation(name, token, host.member.born.generation)
+        self.life = Incarnation(name, token, host.member.identity.generation)
         self.on_fenced: Callable[[], None] = lambda: None
         self.comeback = Comeback(core.clock.now())
         self.listed: Callable[[], bool] = lambda: False
@@ -202,7 +202,7 @@
     def step(self) -> None:
         """The next thing that is to be said to the store."""
         self.come_back()
-        if self.busy or self.host.member.failed or self.fenced:
+        if self.busy or self.host.member.disk_failed or self.fenced:
             return
         if self.life.standing is Standing.UNKNOWN:
             self.begin()
--- a/eiderpin/store/backup.py
+++ b/eiderpin/store/backup.py
@@ -17,8 +17,8 @@
 from eiderpin.durable.reading import Damaged
 from eiderpin.parts.store import NAME, address
 from eiderpin.store.anchor import Anchor
-from eiderpin.store.messages import Config, EntryKind, Hard, Snapshot
-from eiderpin.store.records import Born, Restored, whole
+from eiderpin.store.messages import Config, EntryKind, HardState, Snapshot
+from eiderpin.store.records import MemberIdentity, Restored, whole
 from eiderpin.store.state import Store, unpack
 
 MAGIC = b"EIDERSNP"
@@ -92,8 +92,8 @@
     log = Log(Files(folder), found.apply)
     snapshot = Snapshot(1, 1, Config(members), zstandard.ZstdCompressor(level=3).compress(image))
     anchor = Anchor(folder)
-    born = Born(cluster, name, anchor.new_disk(), anchor.read(), generation + 1)
-    log.checkpoint(list(whole(born, Hard(1, ""), snapshot, ())))
+    born = MemberIdentity(cluster, name, anchor.new_disk(), anchor.read(), generation + 1)
+    log.checkpoint(list(whole(born, HardState(1, ""), snapshot, ())))
     log.close()
     if log.failed is not None:
         raise log.failed
--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -17,7 +17,7 @@
 from eiderpin.parts.store import NAME, address
 from eiderpin.store import state
 from eiderpin.store.host import StoreHost
-from eiderpin.store.member import Unavailable, Watch
+from eiderpin.store.member import OutcomeUnknown, Watch
 from eiderpin.store.raft import NotLeader, Refused
 from eiderpin.store.state import (
     Answer,
@@ -168,7 +168,7 @@
         member = self.host.member
         prefix, after = text(asked, "prefix", ""), number(asked, "after", member.store.revision)
         watch: Watch | None = None
-        generation = member.born.generation
+        generation = member.identity.generation
         if number(asked, "generation", generation) != generation:
             fail(caller, "compacted", f"the store has begun anew: its generation is {generation}")
             return
@@ -199,7 +199,7 @@
 
         def then() -> None:
             image = self.host.member.store.image()
-            head = {"ok": True, "bytes": len(image), "generation": self.host.member.born.generation}
+            head = {"ok": True, "bytes": len(image), "generation": self.host.member.identity.generation}
             caller.write_line(orjson.dumps(head).decode())
             for at in range(0, len(image), PART):
                 caller.write_line(base64.b64encode(image[at : at + PART]).decode())
@@ -276,7 +276,7 @@
                 succeed(caller, voters=config.voters, learners=config.learners, standbys=config.standbys)
 
         now = self.loop.clock.now()
-        self.host.member.order(asked["op"], name, where, done, now, self.within(asked))
+        self.host.member.change_membership(asked["op"], name, where, done, now, self.within(asked))
 
 
 # -- JSON
@@ -299,7 +299,7 @@
         fail(caller, "no-leader", f"{error}: nothing has been changed")
     elif isinstance(error, Compacted):
         fail(caller, "compacted", str(error))
-    elif isinstance(error, Unavailable):
+    elif isinstance(error, OutcomeUnknown):
         fail(caller, "unknown", str(error))
     else:
         fail(caller, "refused", str(error))
--- a/eiderpin/store/framing.py
+++ b/eiderpin/store/framing.py
@@ -13,13 +13,13 @@
 _LENGTH = struct.Struct(">I")
 
 
-def frame(message: msgspec.Struct) -> bytes:
+def encode_frame(message: msgspec.Struct) -> bytes:
     """Encode one message as a frame."""
     body = msgspec.msgpack.encode(message)
     return _LENGTH.pack(len(body)) + body
 
 
-class Frames:
+class FrameDecoder:
     """A decoder for one direction of a connection: bytes in, bodies of whole frames out.
 
     Args:
--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -18,10 +18,10 @@
 from eiderpin.store import identity
 from eiderpin.store.anchor import Anchor
 from eiderpin.store.log import EntryLog
-from eiderpin.store.member import TICK, Member
+from eiderpin.store.member import TICK_MS, Member
 from eiderpin.store.messages import Config, Message
 from eiderpin.store.raft import Role
-from eiderpin.store.records import Born, Restored, whole
+from eiderpin.store.records import MemberIdentity, Restored, whole
 from eiderpin.store.transport import Transport
 
 if TYPE_CHECKING:
@@ -69,7 +69,9 @@
         self.log = Log(Files(options.folder), restored.apply)
         try:
             anchor = Anchor(options.folder)
-            born = restored.born or Born(options.cluster, options.name, anchor.new_disk(), anchor.read())
+            born = restored.born or MemberIdentity(
+                options.cluster, options.name, anchor.new_disk(), anchor.read()
+            )
             if (born.cluster, born.name) != (options.cluster, options.name):
                 raise ValueError(
                     f"store.directory {options.folder}: it is that of member {born.name} of cluster "
@@ -157,7 +159,7 @@
 
     def adopt(self, generation: int) -> None:
         """With an empty log we come into whatever generation the cluster is in."""
-        self.member.born = replace(self.member.born, generation=generation)
+        self.member.identity = replace(self.member.identity, generation=generation)
         self.member.write_all()
         if self.transport is not None:
             self.transport.generation = generation
@@ -187,7 +189,7 @@
         now = self.loop.clock.now()
         self.found(now)
         self.member.tick(now)
-        self.loop.deadlines.set(now + TICK, self.tick)
+        self.loop.deadlines.set(now + TICK_MS, self.tick)
         leader, removed = self.member.raft.leader, self.member.raft.removed
         if removed and not self.removed:
             self.warn("store: this member has been removed; it keeps what it knew, and takes no changes")
@@ -204,7 +206,7 @@
         if failed is None and self.log.failed is not None:
             self.counters.add("store.disk_failed")
             self.warn(f"the store's disk takes nothing; this member only reads: {self.log.failed}")
-            self.member.disk_failed()
+            self.member.handle_disk_failure()
             self.look_again()
         self.member.flush(self.loop.clock.now())
 
@@ -224,7 +226,7 @@
     @property
     def cut_off(self) -> bool:
         """Whether no leader has been heard of for a while: changes fail here, and reads are old."""
-        return self.loop.clock.now() > self.member.heard_at + CUT_OFF
+        return self.loop.clock.now() > self.member.last_leader_contact_ms + CUT_OFF
 
     def status(self) -> dict[str, object]:
         """How the member stands, for operators."""
@@ -238,11 +240,12 @@
             "leader": raft.leader, "term": raft.term, "last": raft.log.last, "commit": raft.commit,
             "applied": self.member.applied, "snapshot": raft.log.snapshot.index, "revision": store.revision,
             "documents": len(store.documents), "bytes": store.bytes, "leases": len(store.leases),
-            "watches": len(self.member.watches), "disk_fails": self.member.failed, "cut_off": self.cut_off,
+            "watches": len(self.member.watches), "disk_fails": self.member.disk_failed,
+            "cut_off": self.cut_off,
             "voters": raft.log.config.voters, "learners": raft.log.config.learners,
             "standbys": raft.log.config.standbys,
             "disk": raft.disk, "disks": raft.log.config.disks, "retired": raft.log.config.retired,
-            "generation": self.member.born.generation,
+            "generation": self.member.identity.generation,
             "waits_for": self.founding.missing() if self.founding is not None else [],
             "peers": peers if raft.role is Role.LEADER else {}, "removed": raft.removed,
             "observers": self.observers.status() if self.observers is not None else None,
--- a/eiderpin/store/identity.py
+++ b/eiderpin/store/identity.py
@@ -15,13 +15,13 @@
 from msgspec.structs import replace
 
 from eiderpin.store.messages import Config
-from eiderpin.store.records import Born
+from eiderpin.store.records import MemberIdentity
 
 MOST_RETIRED = 64
 SILENT = 20  # ticks without a word from a member's own disk after which another may take its place
 
 
-def copied(born: Born, anchor: str) -> bool:
+def copied(born: MemberIdentity, anchor: str) -> bool:
     """Whether a directory is a copy of the one that `born` was written to: a file that is made once, and
     never touched again, has another number or time there."""
     return bool(born.anchor) and born.anchor != anchor
--- a/eiderpin/store/member.py
+++ b/eiderpin/store/member.py
@@ -20,17 +20,17 @@
     Config,
     Entry,
     EntryKind,
-    Hard,
+    HardState,
+    MembershipRequest,
+    MembershipResponse,
     Message,
-    Order,
-    Ordered,
     Snapshot,
 )
 from eiderpin.store.raft import CHANGE_ROUND, NotLeader, Raft, Refused, Role
-from eiderpin.store.records import Born, Restored
+from eiderpin.store.records import MemberIdentity, Restored
 from eiderpin.store.state import Answer, Command, Compacted, Event, Expire, Operation, Store, pack, unpack
 
-TICK = 50.0  # ms
+TICK_MS = 50.0  # ms
 SNAPSHOT_EVERY = 10_000  # entries applied since the last snapshot ...
 SNAPSHOT_BYTES = 16 << 20  # ... or so many bytes of them, after which the next is made
 TRAILING = 1_000  # entries kept before a snapshot, for members that are a little behind
@@ -52,7 +52,7 @@
         ...
 
 
-class Unavailable(Exception):
+class OutcomeUnknown(Exception):
     """No answer is known: it may or may not have been carried out. Ask again, with the same number."""
 
 
@@ -107,18 +107,18 @@
     """`send` gives a message to the wire, which may lose it. `now` is monotonic, in ms."""
 
     def __init__(
-        self, born: Born, restored: Restored, disk: Disk, send: Callable[[Message], None], rng: random.Random,
-        now: float, raft: type[Raft] = Raft, snapshot_every: int = SNAPSHOT_EVERY, trailing: int = TRAILING,
-        history: int = 10_000,
+        self, born: MemberIdentity, restored: Restored, disk: Disk, send: Callable[[Message], None],
+        rng: random.Random, now: float, raft: type[Raft] = Raft, snapshot_every: int = SNAPSHOT_EVERY,
+        trailing: int = TRAILING, history: int = 10_000,
     ) -> None:  # fmt: skip
         """Begin from what the disk holds."""
-        self.born, self.disk, self.send, self.rng = born, disk, send, rng
+        self.identity, self.disk, self.send, self.rng = born, disk, send, rng
         self.snapshot_every, self.trailing, self.history = snapshot_every, trailing, history
         snapshot = restored.snapshot
         self.raft = raft(born.name, restored.hard, snapshot, restored.entries, rng, born.disk)
         self.store = Store.of(_plain(snapshot.data), history)
         self.applied = snapshot.index
-        self.failed = False  # our disk takes nothing
+        self.disk_failed = False  # our disk takes nothing
         self.bytes = 0  # applied since the last snapshot
         self.watches: list[Watch] = []
         self.on_config: Callable[[Config], None] = lambda config: None
@@ -131,17 +131,17 @@
         self._context = rng.getrandbits(40)
         self._ticked, self._marked = now, now
         self._leases_out = False
-        self.heard_at = now  # of a leader, last
+        self.last_leader_contact_ms = now  # of a leader, last
         self._flushing = False
         self.flush(now)
 
     # -- the start of a cluster
 
     @staticmethod
-    def first(born: Born, voters: dict[str, str], disks: dict[str, str] | None = None) -> Restored:
+    def first(born: MemberIdentity, voters: dict[str, str], disks: dict[str, str] | None = None) -> Restored:
         """What every first member of a new cluster begins with."""
         config = Config(voters, {}, disks or {})
-        return Restored(born, Hard(), [Entry(1, 0, int(EntryKind.CONFIG), config.pack())])
+        return Restored(born, HardState(), [Entry(1, 0, int(EntryKind.CONFIG), config.pack())])
 
     def found(self, config: Config, now: float) -> None:
         """Begin a new cluster with these members, whose logs are as empty as ours."""
@@ -151,9 +151,9 @@
     def all_records(self) -> list[Record]:
         """All that we hold, as it is written."""
         log = self.raft.log
-        hard = Hard(self.raft.term, self.raft.vote)
+        hard = HardState(self.raft.term, self.raft.vote)
         entries = [e for e in log.entries if e.index > log.snapshot.index]
-        return list(records.whole(self.born, hard, log.snapshot, entries))
+        return list(records.whole(self.identity, hard, log.snapshot, entries))
 
     def write_all(self) -> None:
         """Have the disk hold all that we hold."""
@@ -162,28 +162,30 @@
     # -- time and messages
 
     def tick(self, now: float) -> None:
-        """To be called every `TICK` or so."""
-        ticks = int((now - self._ticked) / TICK)
-        self._ticked = now if ticks > MOST_TICKS else self._ticked + ticks * TICK
-        if not self.failed:
+        """To be called every `TICK_MS` or so."""
+        ticks = int((now - self._ticked) / TICK_MS)
+        self._ticked = now if ticks > MOST_TICKS else self._ticked + ticks * TICK_MS
+        if not self.disk_failed:
             for _ in range(min(ticks, MOST_TICKS)):
                 self.raft.tick()
             self._mark(now)
             self._take_in()
             self._promote()
         if self.raft.leader:
-            self.heard_at = now
+            self.last_leader_contact_ms = now
         self._give_up(now)
         self.flush(now)
 
     def hear(self, message: Message, now: float) -> None:
         """A message from another member has come."""
-        if self.failed:
+        if self.disk_failed:
             return  # we could keep nothing of it
-        if isinstance(message, Order):
+        if isinstance(message, MembershipRequest):
             error = self._order(message.what, message.name, message.address)
-            self.send(Ordered(self.born.name, message.frm, self.raft.term, message.context, error))
-        elif isinstance(message, Ordered):
+            self.send(
+                MembershipResponse(self.identity.name, message.frm, self.raft.term, message.context, error)
+            )
+        elif isinstance(message, MembershipResponse):
             order = self._orders.get(message.context)
             if order is not None:
                 order.begun = True
@@ -196,7 +198,7 @@
 
     # -- who the members are
 
-    def order(
+    def change_membership(
         self, what: str, name: str, address: str, done: Callable[[Exception | None], None], now: float,
         within: float,
     ) -> None:  # fmt: skip
@@ -217,7 +219,7 @@
                 done(Refused(error))
         elif self.raft.leader:
             to, term = self.raft.leader, self.raft.term
-            self.send(Order(self.born.name, to, term, self._context, what, name, address))
+            self.send(MembershipRequest(self.identity.name, to, term, self._context, what, name, address))
         else:
             del self._orders[self._context]
             done(NotLeader(""))
@@ -323,7 +325,7 @@
 
     def submit(self, client: str, number: int, op: Operation, done: Done, now: float, within: float) -> None:
         """Have a command committed; `done` gets its answer, or why there is none (`NotLeader`, `Refused`: it
-        was not taken; `Unavailable`: nobody knows)."""
+        was not taken; `OutcomeUnknown`: nobody knows)."""
         key = (client, number)
         known = self._commands.get(key)
         if known is not None:
@@ -341,7 +343,7 @@
     def _may_take(self, waiting: int) -> None:
         """Raises `NotLeader` (another member may take it: one without a disk is no judge of the cluster) and
         `Refused`."""
-        if self.failed:
+        if self.disk_failed:
             raise NotLeader("", "the disk of this member fails")
         if self.raft.removed:
             raise NotLeader("")
@@ -394,17 +396,17 @@
     def _give_up(self, now: float) -> None:
         """On those who have waited for long enough."""
         for key in [k for k, w in self._commands.items() if w.until <= now]:
-            self._commands.pop(key).tell(Unavailable("no word of it in time"))
+            self._commands.pop(key).tell(OutcomeUnknown("no word of it in time"))
         for context in [c for c, o in self._orders.items() if o.until <= now]:
-            self._orders.pop(context).done(Unavailable("it has not come to be in time, but may yet"))
+            self._orders.pop(context).done(OutcomeUnknown("it has not come to be in time, but may yet"))
         for context in [c for c, r in self._reads.items() if r.until <= now]:
-            self._reads.pop(context).done(Unavailable("no leader has confirmed the read in time"))
+            self._reads.pop(context).done(OutcomeUnknown("no leader has confirmed the read in time"))
 
     # -- what Raft says is to be done
 
     def flush(self, now: float) -> None:
         """To be called after whatever may have given Raft something to do."""
-        if self._flushing or self.failed:
+        if self._flushing or self.disk_failed:
             return  # a call-back's: what it brought is seen to by the loop below
         self._flushing = True
         try:
@@ -413,7 +415,7 @@
             self._flushing = False
 
     def _flush(self) -> None:
-        while not self.failed:
+        while not self.disk_failed:
             out = self.raft.out()
             if out.snapshot is not None:
                 self._install(out.snapshot)
@@ -441,14 +443,14 @@
                 return
 
     def _persist(
-        self, snapshot: Snapshot | None, hard: Hard | None, entries: list[Entry], after: list[Message]
+        self, snapshot: Snapshot | None, hard: HardState | None, entries: list[Entry], after: list[Message]
     ) -> None:
         if snapshot is not None:
             self.write_all()
         said = [records.pack(hard)] if hard is not None else []
         said += [records.pack(e) for e in entries]
         if not said:
-            said = [records.pack(Hard(self.raft.term, self.raft.vote))]
+            said = [records.pack(HardState(self.raft.term, self.raft.vote))]
         last = (entries[-1].index, entries[-1].term) if entries else None
         batch = _Batch(after, False, last)
         self._batches.append(batch)
@@ -456,7 +458,7 @@
 
     def _on_disk(self, batch: _Batch, ok: bool) -> None:
         if not ok:
-            self.disk_failed()
+            self.handle_disk_failure()
             return
         if batch not in self._batches:
             return  # of before a failure
@@ -470,10 +472,10 @@
             for message in self._batches.popleft().after:
                 self.send(message)
 
-    def disk_failed(self) -> None:
+    def handle_disk_failure(self) -> None:
         """What was not on disk has been told to nobody, and nothing more is until `disk_is_back`."""
-        if not self.failed:
-            self.failed = True
+        if not self.disk_failed:
+            self.disk_failed = True
             self._batches.clear()
             self.raft.give_up()
             # What was to be persisted or sent goes; what is committed and on disk is applied all the same.
@@ -482,7 +484,7 @@
 
     def disk_is_back(self, now: float) -> None:
         """All that we hold is on disk again."""
-        self.failed, self.raft.may_lead = False, True
+        self.disk_failed, self.raft.may_lead = False, True
         self._ticked = now
         self.raft.persisted(self.raft.log.last, self.raft.log.last_term)
         self.flush(now)
--- a/eiderpin/store/messages.py
+++ b/eiderpin/store/messages.py
@@ -49,7 +49,7 @@
         return msgspec.msgpack.encode(self)
 
 
-class Hard(msgspec.Struct, array_like=True, frozen=True, gc=False):
+class HardState(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """What must be on disk before anybody hears of it."""
 
     term: int = 0
@@ -71,7 +71,7 @@
     term: int
 
 
-class Ask(_Base, tag=1, frozen=True, array_like=True):
+class VoteRequest(_Base, tag=1, frozen=True, array_like=True):
     """Asks for a vote; `pre`: whether it would be given, before the term is raised (dissertation, 9.6).
     `force`: a leader has told us to take over, so its being alive is no reason to refuse (4.2.3)."""
 
@@ -81,8 +81,8 @@
     force: bool = False
 
 
-class Voted(_Base, tag=2, frozen=True, array_like=True):
-    """The answer to `Ask`."""
+class VoteResponse(_Base, tag=2, frozen=True, array_like=True):
+    """The answer to `VoteRequest`."""
 
     granted: bool
     pre: bool = False
@@ -98,7 +98,7 @@
     commit: int
 
 
-class Appended(_Base, tag=4, frozen=True, array_like=True):
+class AppendResponse(_Base, tag=4, frozen=True, array_like=True):
     """`ok`: the log holds the leader's up to `index`. Else `index` is the refused `prev`, and `hint` the last
     place that can match, with the term there."""
 
@@ -109,7 +109,7 @@
     disk: str = ""
 
 
-class Beat(_Base, tag=5, frozen=True, array_like=True):
+class Heartbeat(_Base, tag=5, frozen=True, array_like=True):
     """`round` counts the times that the leader has asked whether it still leads (6.4). `commit` is of what
     the member on `disk` has; on another it says nothing."""
 
@@ -118,14 +118,14 @@
     disk: str = ""
 
 
-class BeatBack(_Base, tag=6, frozen=True, array_like=True):
-    """The answer to `Beat`."""
+class HeartbeatResponse(_Base, tag=6, frozen=True, array_like=True):
+    """The answer to `Heartbeat`."""
 
     round: int
     disk: str = ""
 
 
-class Snap(_Base, tag=7, frozen=True, array_like=True):
+class SnapshotChunk(_Base, tag=7, frozen=True, array_like=True):
     """A part of a snapshot, from byte `offset` of `total`."""
 
     index: int
@@ -136,7 +136,7 @@
     data: bytes
 
 
-class SnapBack(_Base, tag=8, frozen=True, array_like=True):
+class SnapshotChunkResponse(_Base, tag=8, frozen=True, array_like=True):
     """`offset`: how much of the snapshot of `index` is here; `total` of it, once it is installed."""
 
     index: int
@@ -144,7 +144,7 @@
     disk: str = ""
 
 
-class TakeOver(_Base, tag=9, frozen=True, array_like=True):
+class TimeoutNow(_Base, tag=9, frozen=True, array_like=True):
     """The leader hands its place over: campaign now."""
 
 
@@ -154,20 +154,20 @@
     data: list[bytes]
 
 
-class ReadAsk(_Base, tag=11, frozen=True, array_like=True):
+class ReadIndexRequest(_Base, tag=11, frozen=True, array_like=True):
     """A follower asks what a read has to cover."""
 
     context: int
 
 
-class ReadTold(_Base, tag=12, frozen=True, array_like=True):
+class ReadIndexResponse(_Base, tag=12, frozen=True, array_like=True):
     """A read that `context` names may be served once `index` has been applied."""
 
     context: int
     index: int
 
 
-class Gone(_Base, tag=13, frozen=True, array_like=True):
+class NotAMember(_Base, tag=13, frozen=True, array_like=True):
     """Whoever asked is no member any more, by the configuration of entry `index`; `disk`: only who is on
     that one is meant."""
 
@@ -175,7 +175,7 @@
     disk: str = ""
 
 
-class Order(_Base, tag=14, frozen=True, array_like=True):
+class MembershipRequest(_Base, tag=14, frozen=True, array_like=True):
     """An operator's word, passed on to the leader: `what` is `add`, `add-standby`, `promote`,
     `remove` or `transfer`."""
 
@@ -185,7 +185,7 @@
     address: str = ""
 
 
-class Ordered(_Base, tag=15, frozen=True, array_like=True):
+class MembershipResponse(_Base, tag=15, frozen=True, array_like=True):
     """What the leader says to it; an empty `error`: it has begun."""
 
     context: int
@@ -193,8 +193,9 @@
 
 
 Message: TypeAlias = (
-    Ask | Voted | Append | Appended | Beat | BeatBack | Snap | SnapBack | TakeOver | Forward | ReadAsk
-    | ReadTold | Gone | Order | Ordered
+    VoteRequest | VoteResponse | Append | AppendResponse | Heartbeat | HeartbeatResponse | SnapshotChunk
+    | SnapshotChunkResponse | TimeoutNow | Forward | ReadIndexRequest | ReadIndexResponse | NotAMember
+    | MembershipRequest | MembershipResponse
 )  # fmt: skip
 
 _CONFIG = msgspec.msgpack.Decoder(Config)
--- a/eiderpin/store/observer_server.py
+++ b/eiderpin/store/observer_server.py
@@ -13,7 +13,7 @@
 from eiderpin.core.deadlines import Deadline
 from eiderpin.net.loop import Connection, Listener, Loop
 from eiderpin.parts.store import MOST_OBSERVERS
-from eiderpin.store.framing import Frames, frame
+from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.member import Member, Watch
 from eiderpin.store.names import OBSERVERS
 from eiderpin.store.observer_protocol import (
@@ -46,7 +46,7 @@
     """A connection, with its decoder, and the limit for its `Subscribe`."""
 
     connection: Connection
-    frames: Frames
+    frames: FrameDecoder
     limit: Deadline | None
     subscribed: bool = False
 
@@ -73,9 +73,9 @@
         """Listen, and begin to announce."""
         self.loop, self.counters, self.member = loop, counters, member
         now = loop.clock.now()
-        born = member.born
+        born = member.identity
         self.sessions = ObserverSessions(
-            born.cluster, lambda: member.born.generation, born.name, lambda: member.store, now, most
+            born.cluster, lambda: member.identity.generation, born.name, lambda: member.store, now, most
         )
         self.registry = ObserverRegistry(born.name)
         self._peers: dict[int, _Peer] = {}
@@ -119,7 +119,7 @@
         limit = self.loop.deadlines.set(
             self.loop.clock.now() + SUBSCRIBE_WITHIN, lambda: self._end_silent(key)
         )
-        self._peers[key] = _Peer(connection, Frames(MAGIC, MOST_OBSERVER_FRAME), limit)
+        self._peers[key] = _Peer(connection, FrameDecoder(MAGIC, MOST_OBSERVER_FRAME), limit)
         connection.on_data = lambda data: self._received(key, data)
         connection.on_flushed = lambda: self._flushed(key)
         connection.on_closed = lambda: self._closed(key)
@@ -184,7 +184,7 @@
                 self._carry_out(self.registry.joined(effect.key, asked, self.loop.clock.now()))
 
     def _send(self, send: Send) -> None:
-        data = frame(send.message)
+        data = encode_frame(send.message)
         for key in send.keys:
             peer = self._peers.get(key)
             if peer is None:
@@ -210,7 +210,7 @@
         if end.kind in (Rejection.SLOW, Rejection.UNRESPONSIVE):
             connection.close()
             return
-        connection.write(frame(Rejected(end.kind.value, end.reason)))
+        connection.write(encode_frame(Rejected(end.kind.value, end.reason)))
         connection.close_when_sent()
 
     # -- time, and the announcement
@@ -228,11 +228,11 @@
     @property
     def stale_ms(self) -> float:
         """For how long the member has not heard of a leader."""
-        return max(0.0, self.loop.clock.now() - self.member.heard_at)
+        return max(0.0, self.loop.clock.now() - self.member.last_leader_contact_ms)
 
     def _announce(self, now: float) -> None:
         """One command at a time: the lease first, then what has changed, else a sign of life."""
-        if self._busy or self.member.failed:
+        if self._busy or self.member.disk_failed:
             return
         if not self._lease:
             self._submit(Grant(LEASE), self._granted)
@@ -245,7 +245,7 @@
     def _put_announcement(self, now: float) -> None:
         """Put what has changed. Only if our document is as we know it: a command of before, of which nobody
         has said what became of it, may have given entries of it their epochs."""
-        name = OBSERVERS + self.member.born.name
+        name = OBSERVERS + self.member.identity.name
         document = self.member.store.get(name)
         puts = self.registry.announcement(self._lease, now, self._whole)
         if puts:
--- a/eiderpin/store/raft.py
+++ b/eiderpin/store/raft.py
@@ -14,33 +14,34 @@
 from eiderpin.store.log import EntryLog
 from eiderpin.store.messages import (
     Append,
-    Appended,
-    Ask,
-    Beat,
-    BeatBack,
+    AppendResponse,
     Config,
     Entry,
     EntryKind,
     Forward,
-    Gone,
-    Hard,
+    HardState,
+    Heartbeat,
+    HeartbeatResponse,
     Message,
-    ReadAsk,
-    ReadTold,
-    Snap,
-    SnapBack,
+    NotAMember,
+    ReadIndexRequest,
+    ReadIndexResponse,
     Snapshot,
-    TakeOver,
-    Voted,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
 )
 from eiderpin.store.progress import PART, Mode, Progress
 
-ELECTION = 10  # ticks without a leader after which a member campaigns; less than twice that at the latest
+# Ticks without a leader after which a member campaigns; the draw is below twice that.
+ELECTION_TICKS = 10
 BEAT = 2  # ticks between a leader's beats
 APPEND_BYTES = 128 << 10  # entries in one message
 MOST_OPEN_BYTES = 16 << 20  # proposals that are not committed
 MOST_READS = 4096  # reads that wait for their round
-HEARD = 2 * ELECTION  # ticks for which one who was heard of counts as there
+HEARD = 2 * ELECTION_TICKS  # ticks for which one who was heard of counts as there
 CHANGE_ROUND = 16  # entries that a learner may lack when it is made a voter
 
 
@@ -72,7 +73,7 @@
     disk has from their first index on); send `after` once that, and all that was to be persisted earlier, is
     on disk; send `now` at once; apply `committed` in order; serve `reads` once their index is applied."""
 
-    hard: Hard | None = None
+    hard: HardState | None = None
     entries: list[Entry] = field(default_factory=list)
     snapshot: Snapshot | None = None
     now: list[Message] = field(default_factory=list)
@@ -93,7 +94,7 @@
     append_bytes = APPEND_BYTES
 
     def __init__(
-        self, name: str, hard: Hard, snapshot: Snapshot, entries: Sequence[Entry], rng: random.Random,
+        self, name: str, hard: HardState, snapshot: Snapshot, entries: Sequence[Entry], rng: random.Random,
         disk: str = "",
     ) -> None:  # fmt: skip
         """Begin as a follower, from what the disk holds."""
@@ -116,7 +117,7 @@
         self.reads: list[tuple[int, str, int, int]] = []  # round, who asked, context, index
         self.early_reads: list[tuple[str, int]] = []  # asked before our term has a committed entry
         self.open_bytes = 0
-        self.coming: tuple[Snap, bytearray] | None = None
+        self.coming: tuple[SnapshotChunk, bytearray] | None = None
         self.elapsed = self.beat_elapsed = 0
         self.beat_due = False
         self.gone = False  # we have been told that we are no member any more
@@ -211,7 +212,7 @@
         if self.role is Role.LEADER:
             self._read(self.name, context)
         elif self.leader:
-            self._now(ReadAsk(self.name, self.leader, self.term, context))
+            self._now(ReadIndexRequest(self.name, self.leader, self.term, context))
         else:
             raise NotLeader("")
 
@@ -223,7 +224,7 @@
             raise Refused(f"{to!r} is no other voter; there are {', '.join(sorted(self.log.config.voters))}")
         self.heir, self.heir_ticks = to, 0
         if self.peers[to].match == self.log.last:
-            self._now(TakeOver(self.name, to, self.term))
+            self._now(TimeoutNow(self.name, to, self.term))
         else:
             self._send_to(to)
 
@@ -250,7 +251,7 @@
         if self.beat_due and self.role is Role.LEADER:
             self._beat()
         found, self._out = self._out, Out()
-        hard = Hard(self.term, self.vote)
+        hard = HardState(self.term, self.vote)
         if hard != self._told:
             found.hard = self._told = hard
         # Our own disk comes first: what is applied can be read from it again.
@@ -264,14 +265,16 @@
 
     def step(self, m: Message) -> None:
         """Take in what another member says. One that is unknown to us may be a new leader's."""
-        if isinstance(m, Gone):
+        if isinstance(m, NotAMember):
             if m.disk in ("", self.disk):
                 self.gone = self.gone or m.index > self.log.config_at
             return
-        if isinstance(m, Ask) and self._has_left(m):
-            self._after(Gone(self.name, m.frm, self.term, self.log.config_at))
+        if isinstance(m, VoteRequest) and self._has_left(m):
+            self._after(NotAMember(self.name, m.frm, self.term, self.log.config_at))
             return
-        if isinstance(m, Voted | Appended | BeatBack | SnapBack) and not self._is_itself(m.frm, m.disk):
+        if isinstance(
+            m, VoteResponse | AppendResponse | HeartbeatResponse | SnapshotChunkResponse
+        ) and not self._is_itself(m.frm, m.disk):
             return
         if m.term < self.term:
             self._step_old(m)
@@ -279,25 +282,25 @@
         if m.term > self.term and not self._step_newer(m):
             return
         kind = type(m)
-        if kind is Ask:
+        if kind is VoteRequest:
             self._asked(m)  # type: ignore[arg-type]
-        elif kind is Voted:
+        elif kind is VoteResponse:
             self._voted(m)  # type: ignore[arg-type]
-        elif kind is Append or kind is Beat or kind is Snap:
+        elif kind is Append or kind is Heartbeat or kind is SnapshotChunk:
             if self.role is not Role.FOLLOWER or self.leader != m.frm:
                 self._follow(self.term, m.frm)
             self.elapsed, self.gone = 0, False
             if isinstance(m, Append):
                 self._take(m)
-            elif isinstance(m, Beat):
+            elif isinstance(m, Heartbeat):
                 if m.disk in ("", self.disk):
                     self._commit_to(min(m.commit, self.log.last))
-                self._after(BeatBack(self.name, m.frm, self.term, m.round, self.disk))
-            elif isinstance(m, Snap):
+                self._after(HeartbeatResponse(self.name, m.frm, self.term, m.round, self.disk))
+            elif isinstance(m, SnapshotChunk):
                 self._take_snap(m)
-        elif kind is TakeOver:
+        elif kind is TimeoutNow:
             self.campaign(force=True)
-        elif kind is ReadTold and isinstance(m, ReadTold):
+        elif kind is ReadIndexResponse and isinstance(m, ReadIndexResponse):
             self._out.reads.append((m.context, m.index))
         elif self.role is Role.LEADER:
             self._step_leader(m)
@@ -307,7 +310,7 @@
         goes on from an old copy, under its name. A leader remembers the others, to take them in again."""
         known = self.log.config.disks.get(name, disk)
         if known != disk and disk in self.log.config.retired:
-            self._now(Gone(self.name, name, self.term, self.log.config_at, disk))
+            self._now(NotAMember(self.name, name, self.term, self.log.config_at, disk))
         elif self.role is Role.LEADER and name in self.peers:
             if known == disk:
                 self.heard[name] = self.ticks
@@ -315,7 +318,7 @@
                 self.strangers[name] = disk
         return known == disk
 
-    def _has_left(self, m: Ask) -> bool:
+    def _has_left(self, m: VoteRequest) -> bool:
         """Whether it was removed and does not know it. One whose log is as new as ours may be a member by an
         entry that we lack, and gets its answer."""
         config, settled = self.log.config, self.log.config_at <= self.commit
@@ -324,28 +327,28 @@
 
     def _step_old(self, m: Message) -> None:
         """Of a term that has passed. One who still thinks that it leads, or asks, has to hear of ours."""
-        if isinstance(m, Append | Beat | Snap):
+        if isinstance(m, Append | Heartbeat | SnapshotChunk):
             self._appended(m, False, 0)
-        elif isinstance(m, Ask):
-            self._after(Voted(self.name, m.frm, self.term, False, m.pre, self.disk))
+        elif isinstance(m, VoteRequest):
+            self._after(VoteResponse(self.name, m.frm, self.term, False, m.pre, self.disk))
 
     def _step_newer(self, m: Message) -> bool:
         """Whether a message of a later term is to be looked at further."""
-        if isinstance(m, Ask):
-            leads = self.role is Role.LEADER or (self.leader != "" and self.elapsed < ELECTION)
+        if isinstance(m, VoteRequest):
+            leads = self.role is Role.LEADER or (self.leader != "" and self.elapsed < ELECTION_TICKS)
             if leads and not m.force:
                 return False  # we hear of a leader: one who was cut off must not unseat it (4.2.3, 9.6)
             if not m.pre:
                 self._follow(m.term, "")
-        elif isinstance(m, Voted) and m.pre and m.granted:
+        elif isinstance(m, VoteResponse) and m.pre and m.granted:
             pass  # it speaks of the term that we asked about
-        elif isinstance(m, Append | Beat | Snap):
+        elif isinstance(m, Append | Heartbeat | SnapshotChunk):
             self._follow(m.term, m.frm)
         else:
             self._follow(m.term, "")
         return True
 
-    def _asked(self, m: Ask) -> None:
+    def _asked(self, m: VoteRequest) -> None:
         free = m.pre or self.vote in ("", m.frm)
         if self.role is not Role.FOLLOWER and not m.pre and m.term == self.term:
             free = False
@@ -354,9 +357,11 @@
         granted = free and self.log.up_to_date(m.last_index, m.last_term) and self.may_lead
         if granted and not m.pre:
             self.vote, self.elapsed = m.frm, 0
-        self._after(Voted(self.name, m.frm, m.term if granted else self.term, granted, m.pre, self.disk))
+        self._after(
+            VoteResponse(self.name, m.frm, m.term if granted else self.term, granted, m.pre, self.disk)
+        )
 
-    def _voted(self, m: Voted) -> None:
+    def _voted(self, m: VoteResponse) -> None:
         asked = self.term + 1 if self.role is Role.ASKING else self.term
         if m.pre is not (self.role is Role.ASKING) or self.role not in (Role.ASKING, Role.CANDIDATE):
             return
@@ -389,12 +394,12 @@
         self._appended(m, True, last)
 
     def _appended(self, m: Message, ok: bool, index: int, hint: int = 0, hint_term: int = 0) -> None:
-        self._after(Appended(self.name, m.frm, self.term, ok, index, hint, hint_term, self.disk))
+        self._after(AppendResponse(self.name, m.frm, self.term, ok, index, hint, hint_term, self.disk))
 
-    def _snap_back(self, m: Snap, offset: int) -> None:
-        self._after(SnapBack(self.name, m.frm, self.term, m.index, offset, self.disk))
+    def _snap_back(self, m: SnapshotChunk, offset: int) -> None:
+        self._after(SnapshotChunkResponse(self.name, m.frm, self.term, m.index, offset, self.disk))
 
-    def _take_snap(self, m: Snap) -> None:
+    def _take_snap(self, m: SnapshotChunk) -> None:
         if m.index <= self.commit:
             self._snap_back(m, m.total)
             self._appended(m, True, self.commit)
@@ -432,29 +437,29 @@
                 self.propose(m.data)
             except (NotLeader, Refused):
                 return  # as if lost: who asked will ask again
-        elif isinstance(m, ReadAsk):
+        elif isinstance(m, ReadIndexRequest):
             self._read(m.frm, m.context)
         peer = self.peers.get(m.frm)
         if peer is None:
             return
         peer.active = True
-        if isinstance(m, Appended):
+        if isinstance(m, AppendResponse):
             if m.ok and m.index <= self.log.last:
                 if peer.accepted(m.index):
                     self._count_commit()
                     if min(self.commit, peer.match) > peer.told and not self.beat_due:
                         self._beat_to(m.frm)
                 if m.frm == self.heir and peer.match == self.log.last:
-                    self._now(TakeOver(self.name, m.frm, self.term))
+                    self._now(TimeoutNow(self.name, m.frm, self.term))
             elif not m.ok:
                 hint = m.hint
                 while hint > self.log.base and (self.log.term(hint) or 0) > m.hint_term:
                     hint -= 1
                 peer.refused(m.index, hint)
-        elif isinstance(m, BeatBack):
+        elif isinstance(m, HeartbeatResponse):
             peer.beat_back(m.round)
             self._release_reads()
-        elif isinstance(m, SnapBack) and peer.mode is Mode.SNAPSHOT and m.index == peer.snapshot:
+        elif isinstance(m, SnapshotChunkResponse) and peer.mode is Mode.SNAPSHOT and m.index == peer.snapshot:
             peer.offset, peer.paused = m.offset, False
             if m.offset >= len(self.log.snapshot.data) or m.index != self.log.snapshot.index:
                 peer.probe(peer.snapshot + 1)
@@ -465,9 +470,9 @@
         self.beat_elapsed += 1
         if self.heir:
             self.heir_ticks += 1
-            if self.heir_ticks >= ELECTION:
+            if self.heir_ticks >= ELECTION_TICKS:
                 self.heir = ""  # it did not take over: we go on
-        if self.elapsed >= ELECTION:
+        if self.elapsed >= ELECTION_TICKS:
             self.elapsed = 0
             heard = {n for n, p in self.peers.items() if p.active} | {self.name}
             for peer in self.peers.values():
@@ -490,7 +495,7 @@
         # No more than it is known to have: its log may hold others' entries past that.
         peer.told = min(self.commit, peer.match)
         disk = self.log.config.disks.get(name, "")
-        self._now(Beat(self.name, name, self.term, peer.told, self.round, disk))
+        self._now(Heartbeat(self.name, name, self.term, peer.told, self.round, disk))
 
     def _send_all(self) -> None:
         for name in self.peers:
@@ -522,7 +527,11 @@
         if peer.paused:
             return
         part = s.data[peer.offset : peer.offset + PART]
-        self._now(Snap(self.name, name, self.term, s.index, s.term, s.config, peer.offset, len(s.data), part))
+        self._now(
+            SnapshotChunk(
+                self.name, name, self.term, s.index, s.term, s.config, peer.offset, len(s.data), part
+            )
+        )
         peer.paused = True
 
     def _append(self, items: Sequence[tuple[EntryKind, bytes]]) -> None:
@@ -579,7 +588,7 @@
         voters = {n: p for n, p in self.peers.items() if n in self.log.config.voters}
         heir = max(voters, key=lambda n: voters[n].match, default="")
         if heir:
-            self._now(TakeOver(self.name, heir, self.term))
+            self._now(TimeoutNow(self.name, heir, self.term))
         self._follow(self.term, "")
 
     # -- reads
@@ -611,7 +620,7 @@
             if who == self.name:
                 self._out.reads.append((context, index))
             else:
-                self._now(ReadTold(self.name, who, self.term, context, index))
+                self._now(ReadIndexResponse(self.name, who, self.term, context, index))
 
     # -- roles
 
@@ -637,7 +646,7 @@
     def _ask_all(self, term: int, pre: bool, force: bool = False) -> None:
         for name in sorted(self.log.config.voters):
             if name != self.name:
-                self._after(Ask(self.name, name, term, self.log.last, self.log.last_term, pre, force))
+                self._after(VoteRequest(self.name, name, term, self.log.last, self.log.last_term, pre, force))
 
     def _count_votes(self) -> None:
         if self._quorum({n for n, yes in self.votes.items() if yes}):
@@ -667,7 +676,7 @@
 
     def _new_timeout(self) -> None:
         self.elapsed = 0
-        self.timeout = self.rng.randint(ELECTION, 2 * ELECTION - 1)
+        self.timeout = self.rng.randint(ELECTION_TICKS, 2 * ELECTION_TICKS - 1)
 
     def _now(self, message: Message) -> None:
         self._out.now.append(message)
--- a/eiderpin/store/records.py
+++ b/eiderpin/store/records.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from eiderpin.durable.frames import BadFormat, Record
-from eiderpin.store.messages import Config, Entry, Hard, Snapshot
+from eiderpin.store.messages import Config, Entry, HardState, Snapshot
 
 VERSION = 1
 PART = 1 << 20
 
 
-class Born(msgspec.Struct, array_like=True, frozen=True):
+class MemberIdentity(msgspec.Struct, array_like=True, frozen=True):
     """Whose log it is. `disk` is made when the directory is first written; `anchor` tells a copy of the
     directory from itself (`identity.py`); `generation` counts how often the cluster was begun anew."""
 
@@ -44,19 +44,21 @@
     data: bytes
 
 
-KINDS: dict[int, type[Born | Hard | Entry | SnapHead | SnapPart]] = {
-    1: Born, 2: Hard, 3: Entry, 4: SnapHead, 5: SnapPart,
+KINDS: dict[int, type[MemberIdentity | HardState | Entry | SnapHead | SnapPart]] = {
+    1: MemberIdentity, 2: HardState, 3: Entry, 4: SnapHead, 5: SnapPart,
 }  # fmt: skip
 _NUMBERS = {kind: number for number, kind in KINDS.items()}
 _DECODERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in KINDS.items()}
 
 
-def pack(said: Born | Hard | Entry | SnapHead | SnapPart) -> Record:
+def pack(said: MemberIdentity | HardState | Entry | SnapHead | SnapPart) -> Record:
     """A record as the log takes it."""
     return Record(_NUMBERS[type(said)], VERSION, msgspec.msgpack.encode(said))
 
 
-def whole(born: Born, hard: Hard, snapshot: Snapshot, entries: Iterable[Entry]) -> Iterator[Record]:
+def whole(
+    born: MemberIdentity, hard: HardState, snapshot: Snapshot, entries: Iterable[Entry]
+) -> Iterator[Record]:
     """All that a member holds, as a checkpoint."""
     yield pack(born)
     if snapshot.index:
@@ -72,8 +74,8 @@
 class Restored:
     """What a log says. Feed it its records in order; then `snapshot` may be asked for."""
 
-    born: Born | None = None
-    hard: Hard = Hard()
+    born: MemberIdentity | None = None
+    hard: HardState = HardState()
     entries: list[Entry] = field(default_factory=list)
     head: SnapHead = SnapHead(0, 0, Config(), 0)
     parts: list[bytes] = field(default_factory=list)
@@ -92,9 +94,9 @@
             raise BadFormat(f"a record of kind {record.kind} that makes no sense: {error}") from None
         if isinstance(said, Entry):
             self._entry(said)
-        elif isinstance(said, Hard):
+        elif isinstance(said, HardState):
             self.hard = said
-        elif isinstance(said, Born):
+        elif isinstance(said, MemberIdentity):
             self.born = said
         elif isinstance(said, SnapHead):
             self.head, self.parts, self.entries = said, [], []
--- a/eiderpin/store/transport.py
+++ b/eiderpin/store/transport.py
@@ -17,7 +17,7 @@
 from eiderpin.core.deadlines import Deadline
 from eiderpin.net.loop import Connection, Listener, Loop
 from eiderpin.parts.store import address
-from eiderpin.store.framing import Frames, frame
+from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.messages import Message
 
 MAGIC = b"EIDRAFT\n"
@@ -77,7 +77,7 @@
             self.later()
             return
         self.conn, self.open = conn, False
-        frames = Frames(b"")
+        frames = FrameDecoder(b"")
 
         def data(got: bytes) -> None:
             try:
@@ -87,7 +87,7 @@
                 conn.close()
                 self.ended()
 
-        conn.on_open = lambda: conn.write(MAGIC + frame(self.transport.hello(self.name)))
+        conn.on_open = lambda: conn.write(MAGIC + encode_frame(self.transport.hello(self.name)))
         conn.on_data, conn.on_end = data, self.ended
 
     def welcomed(self, said: Welcome) -> None:
@@ -120,7 +120,7 @@
         if self.conn is None or not self.open:
             self.transport.counters.add("store.unsent")
             return
-        data = frame(message)
+        data = encode_frame(message)
         if len(self.conn.unsent) + len(data) > MOST_QUEUED and self.conn.unsent:
             self.transport.counters.add("store.dropped")
             return
@@ -191,7 +191,7 @@
         if len(self.coming) >= MOST_PEERS:
             next(iter(self.coming)).close()
         self.coming[conn] = None
-        frames, greeted = Frames(MAGIC), False
+        frames, greeted = FrameDecoder(MAGIC), False
         limit = self.loop.deadlines.set(self.loop.clock.now() + HELLO_WITHIN, conn.close)
 
         def data(got: bytes) -> None:
@@ -209,7 +209,7 @@
                         self.greet(hello)
                     self.loop.deadlines.drop(limit)
                     replaced = self.is_retired(hello.frm, hello.disk)
-                    conn.write(frame(Welcome(VERSION, why, self.disk, self.has_log(), replaced)))
+                    conn.write(encode_frame(Welcome(VERSION, why, self.disk, self.has_log(), replaced)))
                     if why:
                         self.counters.add("store.refused")
                         conn.on_data = _ignore
--- a/tests/observer_sim.py
+++ b/tests/observer_sim.py
@@ -27,7 +27,7 @@
 from eiderpin.store.observer_sessions import observed
 from eiderpin.store.raft import Role
 from eiderpin.store.state import Answer, Delete, Event, Put, Store, Transaction, unpack
-from tests.store_sim import Broken, Trouble, World
+from tests.store_sim import FaultInjector, InvariantViolated, SimulatedCluster
 
 HISTORY = 20  # events that members keep: one that is away for a second or two is behind them
 WORKERS = 6  # that orders are given for
@@ -45,7 +45,7 @@
 
     def later(self, ms: float, call: Callable[[], None]) -> None:
         """Call after so long, if it still lives; once it is awake."""
-        self.world.after(ms, lambda: self.run(call))
+        self.world.schedule(ms, lambda: self.run(call))
 
     def run(self, call: Callable[[], None]) -> None:
         if not self.alive:
@@ -106,7 +106,7 @@
         world = self.process.world
         near = SimConnection(self.process)
         near.remote = address[0]
-        world.after(world.latency(), lambda: world.arrive_connection(near))
+        world.schedule(world.latency(), lambda: world.arrive_connection(near))
         return near
 
 
@@ -131,7 +131,7 @@
         if self.closed or self.closing:
             return
         self.outbox.append(data)
-        self.world.after(self.world.latency(), self.pump)
+        self.world.schedule(self.world.latency(), self.pump)
         self.on_flushed()
 
     def pump(self) -> None:
@@ -140,7 +140,7 @@
         if peer is None or not self.outbox:
             return
         if (self.process.name, peer.process.name) in self.world.cuts:
-            self.world.after(100.0, self.pump)
+            self.world.schedule(100.0, self.pump)
             return
         peer.inbox += self.outbox
         self.outbox.clear()
@@ -176,7 +176,7 @@
 
     def send_end(self) -> None:
         self.outbox.append(None)
-        self.world.after(self.world.latency(), self.pump)
+        self.world.schedule(self.world.latency(), self.pump)
 
 
 class SimListener:
@@ -207,7 +207,7 @@
 
     def changed(self, events: list[Event]) -> None:
         if self.copy.position < self.highest:
-            raise Broken(f"{self.name} goes back from {self.highest} to {self.copy.position}")
+            raise InvariantViolated(f"{self.name} goes back from {self.highest} to {self.copy.position}")
         self.highest = self.copy.position
         self.world.compare(self.name, self.copy)
 
@@ -222,7 +222,7 @@
 
 
 @dataclass
-class ObserverWorld(World):
+class ObserverWorld(SimulatedCluster):
     """The simulated cluster, with observers."""
 
     observers: int = 5
@@ -250,7 +250,7 @@
 
     def start(self, name: str) -> None:
         super().start(name)
-        member = self._member(name)
+        member = self.running_member(name)
         member.history = member.store.history = HISTORY
         process = self.processes[name] = Process(self, name)
         with mock.patch.object(observer_server, "Listener", SimListener):
@@ -280,7 +280,7 @@
         if near.closed or not near.process.alive:
             return
         if (near.process.name, near.remote) in self.cuts:
-            self.after(100.0, lambda: self.arrive_connection(near))
+            self.schedule(100.0, lambda: self.arrive_connection(near))
             return
         if listener is None:
             near.process.run(near.broke)
@@ -302,8 +302,8 @@
 
     # -- the truth
 
-    def saw_applied(self, name: str, index: int, term: int, data: bytes) -> None:
-        super().saw_applied(name, index, term, data)
+    def check_applied(self, name: str, index: int, term: int, data: bytes) -> None:
+        super().check_applied(name, index, term, data)
         while self.truth_index + 1 in self.applied:
             self.truth_index += 1
             try:
@@ -325,7 +325,9 @@
     def compare(self, name: str, copy: Subscription) -> None:
         """An observer's copy is the truth at its own revision."""
         if copy.revision > self.truth.revision:
-            raise Broken(f"{name} is at revision {copy.revision}; {self.truth.revision} is the last")
+            raise InvariantViolated(
+                f"{name} is at revision {copy.revision}; {self.truth.revision} is the last"
+            )
         wanted: dict[str, tuple[bytes, int]] = {}
         for revision, image in reversed(self.images):
             if revision <= copy.revision:
@@ -334,7 +336,7 @@
         held = {d.name: (d.value, d.revision) for d in copy.documents.values()}
         if held != wanted:
             differs = sorted(n for n in held.keys() | wanted.keys() if held.get(n) != wanted.get(n))
-            raise Broken(f"{name} at revision {copy.revision} differs in {', '.join(differs)}")
+            raise InvariantViolated(f"{name} at revision {copy.revision} differs in {', '.join(differs)}")
 
     # -- the end
 
@@ -352,21 +354,21 @@
             last = self.images[-1]
             newest = next(r for r, image in self.images if image == last[1])
             if follower.copy.revision < newest or not follower.observer.subscribed:
-                raise Broken(f"{name} is at {follower.copy.revision}; {newest} is the last change")
+                raise InvariantViolated(f"{name} is at {follower.copy.revision}; {newest} is the last change")
             if follower.observer.standing is not Standing.KNOWN:
-                raise Broken(f"{name} is {follower.observer.standing.value}")
+                raise InvariantViolated(f"{name} is {follower.observer.standing.value}")
         for follower in self.doomed:
             if follower.process.alive and follower.observer.standing is not Standing.FENCED:
-                raise Broken(f"the earlier {follower.name} is {follower.observer.standing.value}")
+                raise InvariantViolated(f"the earlier {follower.name} is {follower.observer.standing.value}")
         ranked = sorted(self.followers)
         for place, name in enumerate(ranked):
             if self.followers[name].place != (len(ranked), place):
-                raise Broken(f"{name} believes it is {self.followers[name].place} of {ranked}")
+                raise InvariantViolated(f"{name} believes it is {self.followers[name].place} of {ranked}")
         for member in self.live():
             folded = self.servers[member].registry.folded.observers
             tokens = {name: live.entry.token for name, live in folded.items()}
             if tokens != {name: f.copy.token for name, f in self.followers.items()}:
-                raise Broken(f"{member} knows {tokens}")
+                raise InvariantViolated(f"{member} knows {tokens}")
 
 
 class Writer:
@@ -375,12 +377,12 @@
     def __init__(self, world: ObserverWorld, gap: tuple[float, float]) -> None:
         self.world, self.gap = world, gap
         self.version = 0
-        self.over = False
+        self.stopped = False
         self.next()
 
     def next(self) -> None:
-        if not self.over:
-            self.world.after(self.world.rng.uniform(*self.gap), self.write)
+        if not self.stopped:
+            self.world.schedule(self.world.rng.uniform(*self.gap), self.write)
 
     def write(self) -> None:
         rng, world = self.world.rng, self.world
@@ -394,7 +396,7 @@
                 change = Put(CURRENT, b"%d\n{}" % self.version)
             elif rng.random() < 0.3:
                 change = Put(f"other{rng.randrange(3)}", b"%d" % self.version)
-            member = world._member(rng.choice(live))
+            member = world.running_member(rng.choice(live))
             member.submit("", rng.getrandbits(50), Transaction([change]), _ignore, world.now, 300.0)
         self.next()
 
@@ -408,15 +410,15 @@
 
     def __init__(self, world: ObserverWorld) -> None:
         self.world = world
-        self.over = False
+        self.stopped = False
         self.next()
 
     def next(self) -> None:
-        if not self.over:
-            self.world.after(self.world.rng.uniform(200.0, 900.0), self.strike)
+        if not self.stopped:
+            self.world.schedule(self.world.rng.uniform(200.0, 900.0), self.inject_fault)
 
-    def strike(self) -> None:
-        if self.over:
+    def inject_fault(self) -> None:
+        if self.stopped:
             return
         rng, world = self.world.rng, self.world
         name = rng.choice(sorted(world.followers))
@@ -425,7 +427,7 @@
             member = rng.choice(world.names)
             pairs = [(name, member), (member, name)][: rng.choice([1, 2])]
             world.cuts |= set(pairs)
-            world.after(rng.uniform(100.0, 5000.0), lambda: world.cuts.difference_update(pairs))
+            world.schedule(rng.uniform(100.0, 5000.0), lambda: world.cuts.difference_update(pairs))
         elif kind == "reset":
             world.reset_some()
         elif kind == "freeze":
@@ -446,7 +448,7 @@
             return
         old.process.frozen_until = world.now + 4000.0
         world.doomed.append(old)
-        world.after(500.0, lambda: world.follow(name) if old is world.followers[name] else None)
+        world.schedule(500.0, lambda: world.follow(name) if old is world.followers[name] else None)
 
 
 def play(
@@ -456,18 +458,18 @@
     subscription: type[Subscription] = Subscription,
     server: type[ObserverServer] = ObserverServer,
 ) -> ObserverWorld:
-    """One run. Raises `Broken` where a promise did not hold."""
+    """One run. Raises `InvariantViolated` where a promise did not hold."""
     world = ObserverWorld(seed, observers=observers, subscription=subscription, server=server)
-    troubles: list[Any] = [ObserverTrouble(world), Trouble(world, False)]
+    troubles: list[Any] = [ObserverTrouble(world), FaultInjector(world, False)]
     writer = Writer(world, (10.0, 200.0))
     for step in range(1, 7):
         world.run(ms * step / 6)
         for name in world.live():
-            if world._member(name).raft.role is Role.LEADER:
-                world.look(name)
+            if world.running_member(name).raft.role is Role.LEADER:
+                world.check_leader(name)
     for trouble in (*troubles, writer):
-        trouble.over = True
-    world.settle()
+        trouble.stopped = True
+    world.heal_and_converge()
     world.come_together()
     return world
 
--- a/tests/store_sim.py
+++ b/tests/store_sim.py
@@ -11,21 +11,21 @@
 
 from eiderpin.durable.frames import Record
 from eiderpin.store import identity, records
-from eiderpin.store.member import TICK, Member, Unavailable
+from eiderpin.store.member import TICK_MS, Member, OutcomeUnknown
 from eiderpin.store.messages import Message
 from eiderpin.store.raft import NotLeader, Raft, Refused, Role
-from eiderpin.store.records import Born, Restored
+from eiderpin.store.records import MemberIdentity, Restored
 from eiderpin.store.state import Answer, Compare, Open, Put, Transaction
 
 
-class Broken(AssertionError):
+class InvariantViolated(AssertionError):
     """A promise did not hold."""
 
 
 class SimDisk:
     """What is written is lost in a crash until a sync, a part of it perhaps not. It may be slow, or fail."""
 
-    def __init__(self, world: World, name: str) -> None:
+    def __init__(self, world: SimulatedCluster, name: str) -> None:
         self.world, self.name = world, name
         self.synced: list[Record] = []
         self.pending: list[tuple[list[Record] | None, list[Record], Callable[[bool], None]]] = []
@@ -43,7 +43,7 @@
     def sync_soon(self) -> None:
         if not self.syncing:
             self.syncing = True
-            self.world.after(self.world.rng.uniform(*self.delay), self.sync, self.name)
+            self.world.schedule(self.world.rng.uniform(*self.delay), self.sync, self.name)
 
     def sync(self) -> None:
         self.syncing = False
@@ -105,7 +105,7 @@
 
 
 @dataclass
-class World:
+class SimulatedCluster:
     seed: int
     size: int = 3
     raft: type[Raft] = Raft
@@ -134,14 +134,14 @@
         disks = {n: f"{n}#0" for n in names} if self.lossy else {}
         for name in names:
             node = self.nodes[name] = Node(SimDisk(self, name), identity=disks.get(name, ""))
-            born = Born("sim", name, node.identity)
+            born = MemberIdentity("sim", name, node.identity)
             first = Member.first(born, voters, disks)
             node.disk.synced = list(records.whole(born, first.hard, first.snapshot, first.entries))
             self.start(name)
 
     # -- time
 
-    def after(self, ms: float, call: Callable[[], None], name: str = "") -> None:
+    def schedule(self, ms: float, call: Callable[[], None], name: str = "") -> None:
         """`name`: whose event it is; it is forgotten when that one is killed."""
         self.number += 1
         life = self.nodes[name].life if name else 0
@@ -166,12 +166,12 @@
 
         class Watched(Member):
             def _apply(self, entry: Any) -> None:
-                world.saw_applied(name, entry.index, entry.term, entry.data)
+                world.check_applied(name, entry.index, entry.term, entry.data)
                 super()._apply(entry)
 
         node.member = Watched(
-            Born("sim", name, node.identity), restored, node.disk, lambda m: self.send(m), rng, self.now,
-            self.raft,
+            MemberIdentity("sim", name, node.identity), restored, node.disk, lambda m: self.send(m), rng,
+            self.now, self.raft,
             self.snapshot_every, 10,
         )  # fmt: skip
         self.ticks(name)
@@ -183,14 +183,14 @@
         self.start(name)
 
     def empty(self, name: str) -> list[Record]:
-        return list(records.whole(Born("sim", name), records.Hard(), records.Snapshot(), ()))
+        return list(records.whole(MemberIdentity("sim", name), records.HardState(), records.Snapshot(), ()))
 
     def whole(self) -> bool:
         """Whether three voters or more each stand on the disk that all of them know: one may be lost."""
         lead = self.leader()
         if not lead:
             return False
-        raft = self._member(lead).raft
+        raft = self.running_member(lead).raft
         config = raft.log.config
         held = all(n in self.nodes and self.nodes[n].identity == config.disks.get(n) for n in config.voters)
         return held and len(config.voters) >= 3 and not config.learners and raft.log.config_at <= raft.commit
@@ -210,8 +210,8 @@
         if node.member is not None:
             if self.now >= node.frozen_until:
                 node.member.tick(self.now)
-                self.look(name)
-            self.after(TICK * self.rng.uniform(0.9, 1.1), lambda: self.ticks(name), name)
+                self.check_leader(name)
+            self.schedule(TICK_MS * self.rng.uniform(0.9, 1.1), lambda: self.ticks(name), name)
 
     def kill(self, name: str) -> None:
         node = self.nodes[name]
@@ -223,10 +223,10 @@
         return [n for n, x in self.nodes.items() if x.member is not None]
 
     def leader(self) -> str:
-        found = [n for n in self.live() if self._member(n).raft.role is Role.LEADER]
-        return max(found, key=lambda n: self._member(n).raft.term, default="")
+        found = [n for n in self.live() if self.running_member(n).raft.role is Role.LEADER]
+        return max(found, key=lambda n: self.running_member(n).raft.term, default="")
 
-    def _member(self, name: str) -> Member:
+    def running_member(self, name: str) -> Member:
         member = self.nodes[name].member
         assert member is not None
         return member
@@ -239,49 +239,51 @@
             return
         for _ in range(2 if rng.random() < 0.02 else 1):
             delay = rng.uniform(0.5, 8.0) if rng.random() < 0.95 else rng.uniform(8.0, 200.0)
-            self.after(delay, lambda: self.arrive(message), to)
+            self.schedule(delay, lambda: self.arrive(message), to)
 
     def arrive(self, message: Message) -> None:
         node = self.nodes[message.to]
         if node.member is None:
             return
         if self.now < node.frozen_until:
-            self.after(node.frozen_until - self.now, lambda: self.arrive(message), message.to)
+            self.schedule(node.frozen_until - self.now, lambda: self.arrive(message), message.to)
             return
         node.member.hear(message, self.now)
-        self.look(message.to)
+        self.check_leader(message.to)
 
     # -- what must hold
 
-    def saw_applied(self, name: str, index: int, term: int, data: bytes) -> None:
+    def check_applied(self, name: str, index: int, term: int, data: bytes) -> None:
         """State-machine safety: one command for one index, for ever."""
         known = self.applied.setdefault(index, (term, data))
-        at = self._member(name).raft.term  # it was committed in that term or before
+        at = self.running_member(name).raft.term  # it was committed in that term or before
         self.applied_in[index] = min(at, self.applied_in.get(index, at))
         if known != (term, data):
-            raise Broken(f"{name} applies {term, data} as entry {index}, another applied {known}")
+            raise InvariantViolated(f"{name} applies {term, data} as entry {index}, another applied {known}")
 
-    def look(self, name: str) -> None:
-        raft = self._member(name).raft
+    def check_leader(self, name: str) -> None:
+        raft = self.running_member(name).raft
         if raft.role is not Role.LEADER:
             return
         first = self.leaders.setdefault(raft.term, name)
         if first != name:
-            raise Broken(f"{first} and {name} both lead in term {raft.term}")
+            raise InvariantViolated(f"{first} and {name} both lead in term {raft.term}")
         if raft.log.last_term == raft.term and raft.log.term(raft.log.last - 1) != raft.term:
             self.leader_is_complete(name)
 
     def leader_is_complete(self, name: str) -> None:
         """Leader completeness: whoever is elected has all that was committed before."""
-        raft = self._member(name).raft
+        raft = self.running_member(name).raft
         log = raft.log
         for index, (term, _) in self.applied.items():
             if self.applied_in[index] < raft.term and index > log.base and log.term(index) != term:
-                raise Broken(f"{name} leads without entry {index} of term {term}, which was committed")
+                raise InvariantViolated(
+                    f"{name} leads without entry {index} of term {term}, which was committed"
+                )
 
     def logs_match(self) -> None:
         """Log matching: where two logs have one term at one index, they are alike up to there."""
-        logs = [self._member(n).raft.log for n in self.live()]
+        logs = [self.running_member(n).raft.log for n in self.live()]
         for at, one in enumerate(logs):
             for other in logs[at + 1 :]:
                 low = max(one.base, other.base) + 1
@@ -291,16 +293,16 @@
                     if mine.term == theirs.term:
                         alike = True
                     if alike and mine != theirs:
-                        raise Broken(f"entry {index} differs below a match: {mine} and {theirs}")
+                        raise InvariantViolated(f"entry {index} differs below a match: {mine} and {theirs}")
 
     def check(self) -> None:
         self.logs_match()
         keys = {op.key for op in self.history}
         for key in sorted(keys):
             if not linearizable([op for op in self.history if op.key == key]):
-                raise Broken(f"the history of {key} is not linearizable")
+                raise InvariantViolated(f"the history of {key} is not linearizable")
 
-    def settle(self) -> None:
+    def heal_and_converge(self) -> None:
         """Heal all, and see that all come to hold the same."""
         self.cuts.clear()
         self.drops = 0.0
@@ -312,21 +314,21 @@
                 self.start(name)
         for _ in range(60):
             self.run(self.now + 1000.0)
-            voters = {n for n in self.live() if n in self._member(n).raft.log.config.voters}
+            voters = {n for n in self.live() if n in self.running_member(n).raft.log.config.voters}
             lead = self.leader()
             if not lead:
                 continue
-            names = set(self._member(lead).raft.log.config.all()) & set(self.live())
-            ends = {(self._member(n).applied, self._member(n).store.image()) for n in names}
+            names = set(self.running_member(lead).raft.log.config.all()) & set(self.live())
+            ends = {(self.running_member(n).applied, self.running_member(n).store.image()) for n in names}
             if len(ends) == 1 and voters:
                 return
-        ends = {n: (self._member(n).applied, self._member(n).raft.role) for n in self.live()}
-        raise Broken(f"members do not come together: {ends}")
+        ends = {n: (self.running_member(n).applied, self.running_member(n).raft.role) for n in self.live()}
+        raise InvariantViolated(f"members do not come together: {ends}")
 
     def repair(self, name: str) -> None:
         node = self.nodes[name]
         node.disk_fails = False
-        if node.member is not None and node.member.failed:
+        if node.member is not None and node.member.disk_failed:
             node.member.write_all()
             node.disk.append([], lambda ok: None)
             member = node.member
@@ -336,7 +338,7 @@
 class Client:
     """Asks for one thing after the other, the same again under the same number where nobody answered."""
 
-    def __init__(self, world: World, number: int, ops: int) -> None:
+    def __init__(self, world: SimulatedCluster, number: int, ops: int) -> None:
         self.world, self.name, self.left, self.number = world, f"c{number}", ops, 0
         self.rng = random.Random(world.rng.random())
         self.seen: dict[str, bytes | None] = {}
@@ -345,7 +347,7 @@
         self.next()
 
     def next(self) -> None:
-        self.world.after(self.rng.uniform(1.0, 120.0), self.go)
+        self.world.schedule(self.rng.uniform(1.0, 120.0), self.go)
 
     def go(self) -> None:
         if not self.opened:
@@ -387,7 +389,7 @@
             self.next()
             return
         member.submit(self.name, 0, Open(self.name), done, self.world.now, 500.0)
-        self.world.after(600.0, lambda: done(Unavailable()))  # its member may have been killed
+        self.world.schedule(600.0, lambda: done(OutcomeUnknown()))  # its member may have been killed
 
     def write(self, op: Op, number: int, change: Transaction, tries: int) -> None:
         told = False
@@ -399,22 +401,22 @@
             told = True
             if isinstance(answer, Answer):
                 if answer.error:
-                    raise Broken(f"{self.name} {number}: {answer.error}")
+                    raise InvariantViolated(f"{self.name} {number}: {answer.error}")
                 op.ended, op.result = self.world.now, answer.ok
                 if answer.ok and op.kind != "get":
                     self.seen[op.key], self.revisions[op.key] = op.value, answer.revision
                 self.next()
             elif tries > 0:
                 again = self.rng.uniform(10.0, 150.0)
-                self.world.after(again, lambda: self.write(op, number, change, tries - 1))
+                self.world.schedule(again, lambda: self.write(op, number, change, tries - 1))
             # else nobody will ever know, and this client says no more
 
         member = self.member()
         if member is None:
-            done(Unavailable())
+            done(OutcomeUnknown())
             return
         member.submit(self.name, number, change, done, self.world.now, 400.0)
-        self.world.after(600.0, lambda: done(Unavailable()))  # its member may have been killed
+        self.world.schedule(600.0, lambda: done(OutcomeUnknown()))  # its member may have been killed
 
     def read(self, op: Op, tries: int) -> None:
         told = False
@@ -433,16 +435,16 @@
                     self.seen[op.key], self.revisions[op.key] = document.value, document.revision
                 self.next()
             elif tries > 0:
-                self.world.after(self.rng.uniform(10.0, 150.0), lambda: self.read(op, tries - 1))
+                self.world.schedule(self.rng.uniform(10.0, 150.0), lambda: self.read(op, tries - 1))
             else:
                 self.world.history.remove(op)  # it has seen nothing
                 self.next()
 
         if member is None:
-            done(Unavailable())
+            done(OutcomeUnknown())
             return
         member.read(done, self.world.now, 400.0)
-        self.world.after(600.0, lambda: done(Unavailable()))
+        self.world.schedule(600.0, lambda: done(OutcomeUnknown()))
 
 
 def linearizable(ops: list[Op]) -> bool:
@@ -480,20 +482,20 @@
     return False
 
 
-class Trouble:
+class FaultInjector:
     """Draws what goes wrong next."""
 
-    def __init__(self, world: World, changes: bool) -> None:
+    def __init__(self, world: SimulatedCluster, changes: bool) -> None:
         self.world, self.rng = world, random.Random(world.rng.random())
-        self.changes, self.joined, self.over = changes, 0, False
+        self.changes, self.joined, self.stopped = changes, 0, False
         self.again()
 
     def again(self) -> None:
-        self.world.after(self.rng.uniform(50.0, 700.0), self.strike)
+        self.world.schedule(self.rng.uniform(50.0, 700.0), self.inject_fault)
 
-    def strike(self) -> None:
+    def inject_fault(self) -> None:
         world, rng = self.world, self.rng
-        if self.over:
+        if self.stopped:
             return
         kinds = ["kill", "kill", "cut", "one way", "heal", "drops", "freeze", "slow", "disk", "transfer",
                  "storm", "storm", "eight", "stale", "double"]  # fmt: skip
@@ -504,14 +506,14 @@
         if kind == "kill" and name:
             world.kill(name)
             back = rng.uniform(20.0, 900.0)
-            world.after(back, lambda: world.start(name) if world.nodes[name].member is None else None)
+            world.schedule(back, lambda: world.start(name) if world.nodes[name].member is None else None)
         elif kind in ("cut", "one way") and name:
             for other in world.nodes:
                 if other != name and (kind == "cut" or rng.random() < 0.6):
                     world.cuts.add((name, other))
                     if kind == "cut":
                         world.cuts.add((other, name))
-            world.after(rng.uniform(100.0, 1500.0), world.cuts.clear)
+            world.schedule(rng.uniform(100.0, 1500.0), world.cuts.clear)
         elif kind == "heal":
             world.cuts.clear()
             world.drops = 0.0
@@ -523,7 +525,7 @@
             name = rng.choice(sorted(world.nodes[world.leader()].member.raft.log.config.voters))  # type: ignore[union-attr]
             world.lose(name, kind == "older")
             back = rng.uniform(20.0, 900.0)
-            world.after(back, lambda: world.start(name) if world.nodes[name].member is None else None)
+            world.schedule(back, lambda: world.start(name) if world.nodes[name].member is None else None)
             if rng.random() < 0.5:  # and somebody else dies with it
                 self.blink(rng.choice(world.live() or [name]))
         elif kind == "drops":
@@ -534,7 +536,7 @@
             world.nodes[name].disk.delay = rng.choice([(0.2, 4.0), (20.0, 200.0)])
         elif kind == "disk" and name:
             world.nodes[name].disk_fails = True
-            world.after(rng.uniform(50.0, 800.0), lambda: world.repair(name))
+            world.schedule(rng.uniform(50.0, 800.0), lambda: world.repair(name))
         elif kind == "storm":
             self.storm(rng.randint(4, 16))
         elif kind == "eight" and world.leader():
@@ -553,27 +555,27 @@
         """Many elections in a short time, and deaths in the middle of them. To campaign is always allowed."""
         world, rng = self.world, self.rng
         live = world.live()
-        if self.over:
+        if self.stopped:
             return
         for name in rng.sample(live, min(len(live), rng.choice([1, 1, 2]))):
             member = world.nodes[name].member
-            if member is None or member.failed:
+            if member is None or member.disk_failed:
                 continue
             member.raft.campaign(force=True)
             member.flush(world.now)
-            world.look(name)
+            world.check_leader(name)
         if live and rng.random() < 0.6:
             name = rng.choice(live)
-            world.after(rng.uniform(1.0, 25.0), lambda: self.blink(name))
+            world.schedule(rng.uniform(1.0, 25.0), lambda: self.blink(name))
         if left:
-            world.after(rng.uniform(1.0, 60.0), lambda: self.storm(left - 1))
+            world.schedule(rng.uniform(1.0, 60.0), lambda: self.storm(left - 1))
 
     def blink(self, name: str) -> None:
         world = self.world
         if world.nodes[name].member is not None:
             world.kill(name)
             back = self.rng.uniform(1.0, 60.0)
-            world.after(back, lambda: world.start(name) if world.nodes[name].member is None else None)
+            world.schedule(back, lambda: world.start(name) if world.nodes[name].member is None else None)
 
     def change(self, what: Callable[[Raft], None]) -> None:
         member = self.world.nodes[self.world.leader()].member
@@ -610,7 +612,7 @@
     """The dissertation's figure 3.7, as far as chance allows: an entry of an earlier term comes to a majority
     under a new leader, which dies before one of its own term does; and one who lacks it is elected."""
 
-    def __init__(self, world: World, rng: random.Random) -> None:
+    def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
         self.world, self.rng = world, rng
         self.old = world.leader()
         others = [n for n in world.live() if n != self.old]
@@ -619,13 +621,13 @@
         self.rival, self.third = rng.sample(others, 2)
         self.cut(self.old, others, True)
         member = self.member(self.old)
-        if member is None or member.failed:
+        if member is None or member.disk_failed:
             return
         number = rng.getrandbits(50)
         change = Transaction([Put("eight", b"%d" % number)])
         member.submit("", number, change, lambda answer: None, world.now, 400.0)
         self.entry = member.raft.log.last
-        world.after(6.0, lambda: self.campaign(self.rival, self.rival_leads, 4))
+        world.schedule(6.0, lambda: self.campaign(self.rival, self.rival_leads, 4))
 
     def member(self, name: str) -> Member | None:
         return self.world.nodes[name].member
@@ -639,25 +641,25 @@
     def campaign(self, name: str, then: Callable[[], None], tries: int) -> None:
         """Until it leads; nothing follows where it does not."""
         world, member = self.world, self.member(name)
-        if member is None or member.failed or not tries:
+        if member is None or member.disk_failed or not tries:
             world.cuts.clear()
             return
         member.raft.campaign(force=True)
         member.flush(world.now)
         end = world.now + 60.0
 
-        def look() -> None:
+        def check_leader() -> None:
             now = self.member(name)
             if now is not None and now.raft.role is Role.LEADER:
                 then()
             elif world.now < end:
-                world.after(0.25, look)
+                world.schedule(0.25, check_leader)
             else:
                 self.campaign(name, then, tries - 1)
 
         if name == self.rival:
             self.mute(name, end)
-        look()
+        check_leader()
 
     def mute(self, name: str, end: float) -> None:
         """Once the third has its vote, the rival's own entry goes nowhere."""
@@ -667,13 +669,13 @@
         if third.raft.vote == name and third.raft.term == rival.raft.term:
             self.cut(name, [n for n in self.world.nodes if n != name], False)
         else:
-            self.world.after(0.25, lambda: self.mute(name, end))
+            self.world.schedule(0.25, lambda: self.mute(name, end))
 
     def rival_leads(self) -> None:
         world = self.world
         dies = self.rng.uniform(4.0, 8.0)
-        world.after(dies, lambda: world.kill(self.rival) if self.member(self.rival) else None)
-        world.after(9.0, self.old_again)
+        world.schedule(dies, lambda: world.kill(self.rival) if self.member(self.rival) else None)
+        world.schedule(9.0, self.old_again)
 
     def old_again(self) -> None:
         self.world.cuts.clear()
@@ -685,44 +687,44 @@
         if member is None:
             return
         if member.raft.commit < self.entry:
-            world.after(0.25, self.old_leads)
+            world.schedule(0.25, self.old_leads)
             return
         self.cut(self.old, [self.third], False)
         world.kill(self.old)
         if world.nodes[self.rival].member is None:
             world.start(self.rival)
         self.campaign(self.rival, world.cuts.clear, 4)
-        world.after(400.0, lambda: world.start(self.old) if self.member(self.old) is None else None)
+        world.schedule(400.0, lambda: world.start(self.old) if self.member(self.old) is None else None)
 
 
 class DoubleVote:
     """One who has voted dies, and is asked again for the same term by another, who has not heard of the
     first."""
 
-    def __init__(self, world: World, rng: random.Random) -> None:
+    def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
         self.world = world
         self.first, self.voter, self.second = rng.sample(world.live(), 3)
         world.cuts |= {(self.first, self.second)}
-        world.after(300.0, world.cuts.clear)
+        world.schedule(300.0, world.cuts.clear)
         self.campaign(self.first)
         self.looks = 100
-        self.look()
+        self.check_leader()
 
     def campaign(self, name: str) -> None:
         member = self.world.nodes[name].member
-        if member is not None and not member.failed:
+        if member is not None and not member.disk_failed:
             member.raft.campaign(force=True)
             member.flush(self.world.now)
-            self.world.look(name)
+            self.world.check_leader(name)
 
-    def look(self) -> None:
+    def check_leader(self) -> None:
         member, self.looks = self.world.nodes[self.voter].member, self.looks - 1
         if member is None or not self.looks:
             return
         if member.raft.vote != self.first:
-            self.world.after(0.25, self.look)
+            self.world.schedule(0.25, self.check_leader)
         else:
-            self.world.after(6.0, self.die)
+            self.world.schedule(6.0, self.die)
 
     def die(self) -> None:
         world = self.world
@@ -736,9 +738,9 @@
     """One member is cut off while an entry is committed by the leader and the other. Both die; the other
     comes back with a copy of its disk from before, or with none, and the two that lack it are left alone."""
 
-    def __init__(self, world: World, rng: random.Random) -> None:
+    def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
         self.world, self.rng, self.leader = world, rng, world.leader()
-        config = world._member(self.leader).raft.log.config
+        config = world.running_member(self.leader).raft.log.config
         others = sorted(set(config.voters) & set(world.live()) - {self.leader})
         if len(config.voters) != 3 or len(others) != 2:
             return
@@ -747,16 +749,16 @@
         world.cuts |= {p for n in world.nodes for p in ((self.behind, n), (n, self.behind))}
         number = rng.getrandbits(50)
         change = Transaction([Put("forget", b"%d" % number)])
-        world._member(self.leader).submit("", number, change, self.told, world.now, 400.0)
+        world.running_member(self.leader).submit("", number, change, self.told, world.now, 400.0)
 
     def told(self, answer: Answer | Exception) -> None:
         """It is acknowledged: from here on it may not be lost."""
         world, nodes = self.world, self.world.nodes
         if not isinstance(answer, Answer) or nodes[self.leader].member is None or not world.whole():
             return
-        world.after(0.0, self.strike)
+        world.schedule(0.0, self.inject_fault)
 
-    def strike(self) -> None:
+    def inject_fault(self) -> None:
         world, nodes = self.world, self.world.nodes
         if nodes[self.leader].member is None or not world.whole():
             return
@@ -767,33 +769,33 @@
         world.drops = 0.0
         leader = self.leader
         back = self.rng.uniform(2500.0, 4000.0)
-        world.after(back, lambda: world.start(leader) if nodes[leader].member is None else None)
+        world.schedule(back, lambda: world.start(leader) if nodes[leader].member is None else None)
 
 
 class StaleRead:
     """A leader that is cut off is replaced at once, and asked for what has been changed meanwhile."""
 
-    def __init__(self, world: World, rng: random.Random) -> None:
+    def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
         self.world, self.old, self.value = world, world.leader(), b"%d" % rng.getrandbits(40)
         others = [n for n in world.live() if n != self.old]
         if len(others) < 2:
             return
         for name in world.nodes:
             world.cuts |= {(self.old, name), (name, self.old)}
-        world.after(900.0, world.cuts.clear)
+        world.schedule(900.0, world.cuts.clear)
         self.new = rng.choice(others)
         self.campaign(3)
 
     def campaign(self, tries: int) -> None:
         member = self.world.nodes[self.new].member
-        if member is None or member.failed or not tries:
+        if member is None or member.disk_failed or not tries:
             return
         if member.raft.role is Role.LEADER:
             self.write(member)
             return
         member.raft.campaign(force=True)
         member.flush(self.world.now)
-        self.world.after(60.0, lambda: self.campaign(tries - 1))
+        self.world.schedule(60.0, lambda: self.campaign(tries - 1))
 
     def write(self, member: Member) -> None:
         op = Op("put", "k0", self.world.now, self.value)
@@ -825,16 +827,16 @@
 def play(
     seed: int, raft: type[Raft] = Raft, ms: float = 6000.0, changes: bool = False, clients: int = 4,
     ops: int = 14, size: int = 3, lossy: bool = False,
-) -> World:  # fmt: skip
-    """One run. Raises `Broken` where a promise did not hold."""
-    world = World(seed, size=size, raft=raft, lossy=lossy)
+) -> SimulatedCluster:  # fmt: skip
+    """One run. Raises `InvariantViolated` where a promise did not hold."""
+    world = SimulatedCluster(seed, size=size, raft=raft, lossy=lossy)
     for number in range(clients):
         Client(world, number, ops)
-    trouble = Trouble(world, changes)
+    trouble = FaultInjector(world, changes)
     for step in range(1, 13):
         world.run(ms * step / 12)
         world.logs_match()
-    trouble.over = True
-    world.settle()
+    trouble.stopped = True
+    world.heal_and_converge()
     world.check()
     return world
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -15,9 +15,20 @@
 from benchmarks.store_rig import Cluster, Process
 from eiderpin.store import identity
 from eiderpin.store.client import Failed, StoreClient
-from eiderpin.store.messages import Appended, Ask, Beat, Config, Entry, EntryKind, Gone, Hard, Snapshot, Voted
+from eiderpin.store.messages import (
+    AppendResponse,
+    Config,
+    Entry,
+    EntryKind,
+    HardState,
+    Heartbeat,
+    NotAMember,
+    Snapshot,
+    VoteRequest,
+    VoteResponse,
+)
 from eiderpin.store.raft import HEARD, Raft, Refused, Role
-from eiderpin.store.records import Born
+from eiderpin.store.records import MemberIdentity
 from tests.standins import wait_for
 from tests.test_command import eiderpin
 from tests.test_store import cluster
@@ -30,7 +41,7 @@
     """A member with this disk, whose log begins with this configuration."""
     said = config if config is not None else Config(VOTERS, {}, DISKS)
     entries = [Entry(1, 0, int(EntryKind.CONFIG), said.pack())]
-    return Raft(name, Hard(), Snapshot(), entries, random.Random(name), disk or f"disk-{name}")
+    return Raft(name, HardState(), Snapshot(), entries, random.Random(name), disk or f"disk-{name}")
 
 
 def asks(member: Raft) -> None:
@@ -86,9 +97,9 @@
 
 
 def test_a_copy_is_told_from_the_directory_itself() -> None:
-    born = Born("c", "a", "disk-a", "11:22")
+    born = MemberIdentity("c", "a", "disk-a", "11:22")
     assert identity.copied(born, "11:23") and identity.copied(born, "12:22")
-    assert not identity.copied(born, "11:22") and not identity.copied(Born("c", "a"), "1:1")
+    assert not identity.copied(born, "11:22") and not identity.copied(MemberIdentity("c", "a"), "1:1")
 
 
 # ---- the machine ---------------------------------------------------------------------------------------
@@ -97,13 +108,13 @@
 def test_a_vote_from_another_disk_is_none() -> None:
     a = raft("a")
     asks(a)
-    a.step(Voted("b", "a", 1, True, True, "disk-new"))
+    a.step(VoteResponse("b", "a", 1, True, True, "disk-new"))
     assert a.role is Role.ASKING
-    a.step(Voted("b", "a", 1, True, True, "disk-b"))
+    a.step(VoteResponse("b", "a", 1, True, True, "disk-b"))
     assert a.role is Role.CANDIDATE
-    a.step(Voted("b", "a", 1, True, False, "disk-new"))
+    a.step(VoteResponse("b", "a", 1, True, False, "disk-new"))
     assert a.role is Role.CANDIDATE
-    a.step(Voted("b", "a", 1, True, False, "disk-b"))
+    a.step(VoteResponse("b", "a", 1, True, False, "disk-b"))
     assert a.role is Role.LEADER
 
 
@@ -112,28 +123,28 @@
     for _ in range(100):
         copy.tick()
     assert copy.role is Role.FOLLOWER and copy.term == 0
-    assert not [m for m in copy.out().after if isinstance(m, Ask)]
+    assert not [m for m in copy.out().after if isinstance(m, VoteRequest)]
 
 
 def test_a_copy_applies_nothing_by_what_its_leader_knows_of_the_lost_disk() -> None:
     """Its log may hold others' entries where the lost disk's had the leader's."""
     config = Config(VOTERS, {}, DISKS)
     entries = [Entry(1, 0, int(EntryKind.CONFIG), config.pack()), Entry(2, 1, int(EntryKind.COMMAND), b"old")]
-    copy = Raft("b", Hard(1, ""), Snapshot(), entries, random.Random(1), "disk-copy")
-    copy.step(Beat("a", "b", 3, 2, 1, "disk-b"))
+    copy = Raft("b", HardState(1, ""), Snapshot(), entries, random.Random(1), "disk-copy")
+    copy.step(Heartbeat("a", "b", 3, 2, 1, "disk-b"))
     assert copy.commit == 0
-    copy.step(Beat("a", "b", 3, 2, 2, "disk-copy"))
+    copy.step(Heartbeat("a", "b", 3, 2, 2, "disk-copy"))
     assert copy.commit == 2
 
 
 def test_a_disk_that_was_replaced_is_told_so_and_nobody_else() -> None:
     a = raft("a", config=Config(VOTERS, {}, {**DISKS, "b": "disk-new"}, ["disk-b"]))
-    a.step(Voted("b", "a", 0, False, True, "disk-b"))
-    (gone,) = [m for m in a.out().now if isinstance(m, Gone)]
+    a.step(VoteResponse("b", "a", 0, False, True, "disk-b"))
+    (gone,) = [m for m in a.out().now if isinstance(m, NotAMember)]
     assert gone.disk == "disk-b"
     for disk, meant in (("disk-b", True), ("disk-new", False)):
         b = raft("b", disk)
-        b.step(Gone("a", "b", 0, 9, "disk-b"))
+        b.step(NotAMember("a", "b", 0, 9, "disk-b"))
         assert b.gone is meant
 
 
@@ -141,12 +152,12 @@
     """Else a change that nobody can commit would need the disk that was lost."""
     a = raft("a")
     a.campaign(force=True)
-    a.step(Voted("b", "a", 1, True, False, "disk-b"))
+    a.step(VoteResponse("b", "a", 1, True, False, "disk-b"))
     a.persisted(2, 1)
-    a.step(Appended("b", "a", 1, True, 2, disk="disk-b"))
+    a.step(AppendResponse("b", "a", 1, True, 2, disk="disk-b"))
     assert a.role is Role.LEADER and a.commit == 2
     a.ticks += HEARD
-    a.step(Appended("b", "a", 1, True, 2, disk="disk-b"))
+    a.step(AppendResponse("b", "a", 1, True, 2, disk="disk-b"))
     with pytest.raises(Refused, match="only a is there"):
         a.change(identity.members(a.log.config, {"a": "a", "c": "c"}, {}))
     a.change(identity.members(a.log.config, {"a": "a", "b": "b"}, {}))
--- a/tests/test_observer_sim.py
+++ b/tests/test_observer_sim.py
@@ -16,7 +16,7 @@
 from eiderpin.store.presence import ServedObservers
 from eiderpin.store.state import Compacted, Event
 from tests.observer_sim import play
-from tests.store_sim import Broken
+from tests.store_sim import InvariantViolated
 
 SEEDS = range(40)
 
@@ -133,7 +133,7 @@
         for what, seed, patches, subscription in FAULTS:
             with self.subTest(what):
                 play(seed)  # the seed itself is clean
-                with self.assertRaises((Broken, AssertionError, KeyError)):
+                with self.assertRaises((InvariantViolated, AssertionError, KeyError)):
                     planted(patches, lambda seed=seed, kind=subscription: play(seed, subscription=kind))  # type: ignore[misc]
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -18,22 +18,22 @@
 from eiderpin.store.log import Compacted, EntryLog
 from eiderpin.store.messages import (
     Append,
-    Appended,
-    Ask,
-    Beat,
+    AppendResponse,
     Config,
     Entry,
     EntryKind,
-    Gone,
-    Hard,
+    HardState,
+    Heartbeat,
     Message,
-    Snap,
-    SnapBack,
+    NotAMember,
     Snapshot,
-    TakeOver,
-    Voted,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
 )
-from eiderpin.store.raft import ELECTION, NotLeader, Out, Raft, Refused, Role
+from eiderpin.store.raft import ELECTION_TICKS, NotLeader, Out, Raft, Refused, Role
 
 ABC = Config({n: n for n in "abc"})
 
@@ -42,10 +42,10 @@
     return [Entry(1, 0, int(EntryKind.CONFIG), config.pack())]
 
 
-NEW = Hard()
+NEW = HardState()
 
 
-def member(name: str, hard: Hard = NEW, entries: list[Entry] | None = None) -> Raft:
+def member(name: str, hard: HardState = NEW, entries: list[Entry] | None = None) -> Raft:
     return Raft(name, hard, Snapshot(), first() if entries is None else entries, random.Random(name))
 
 
@@ -83,35 +83,35 @@
 class Elections(unittest.TestCase):
     def test_a_vote_is_told_after_it_is_on_disk(self) -> None:
         b = member("b")
-        b.step(Ask("a", "b", 1, 1, 0))
+        b.step(VoteRequest("a", "b", 1, 1, 0))
         out = b.out()
-        self.assertEqual(out.hard, Hard(1, "a"))
-        self.assertEqual((out.now, out.after), ([], [Voted("b", "a", 1, True)]))
+        self.assertEqual(out.hard, HardState(1, "a"))
+        self.assertEqual((out.now, out.after), ([], [VoteResponse("b", "a", 1, True)]))
 
     def test_one_vote_a_term_also_after_a_restart(self) -> None:
-        b = member("b", Hard(1, "a"))
-        b.step(Ask("c", "b", 1, 9, 0))
-        self.assertEqual(b.out().after, [Voted("b", "c", 1, False)])
-        b.step(Ask("a", "b", 1, 9, 0))
-        self.assertEqual(b.out().after, [Voted("b", "a", 1, True)])
+        b = member("b", HardState(1, "a"))
+        b.step(VoteRequest("c", "b", 1, 9, 0))
+        self.assertEqual(b.out().after, [VoteResponse("b", "c", 1, False)])
+        b.step(VoteRequest("a", "b", 1, 9, 0))
+        self.assertEqual(b.out().after, [VoteResponse("b", "a", 1, True)])
 
     def test_no_vote_for_an_older_log(self) -> None:
-        b = member("b", Hard(2, ""), [*first(), Entry(2, 2, 1, b"x")])
+        b = member("b", HardState(2, ""), [*first(), Entry(2, 2, 1, b"x")])
         for last, term, granted in ((1, 0, False), (9, 1, False), (2, 2, True)):
-            b.step(Ask("a", "b", 3, last, term))
-            self.assertEqual(b.out().after[-1], Voted("b", "a", 3, granted))
+            b.step(VoteRequest("a", "b", 3, last, term))
+            self.assertEqual(b.out().after[-1], VoteResponse("b", "a", 3, granted))
 
     def test_a_pre_vote_changes_nothing(self) -> None:
         b = member("b")
-        b.step(Ask("a", "b", 1, 1, 0, pre=True))
+        b.step(VoteRequest("a", "b", 1, 1, 0, pre=True))
         out = b.out()
-        self.assertEqual((out.hard, out.after), (None, [Voted("b", "a", 1, True, True)]))
+        self.assertEqual((out.hard, out.after), (None, [VoteResponse("b", "a", 1, True, True)]))
 
     def test_who_was_cut_off_does_not_unseat_a_leader(self) -> None:
         net = Net("a", "b", "c")
         net.elect("a")
         c, net.cut = net.members["c"], {"c"}
-        for _ in range(5 * ELECTION):
+        for _ in range(5 * ELECTION_TICKS):
             c.tick()
             c.out()
         self.assertEqual((c.term, c.role), (1, Role.ASKING))
@@ -126,7 +126,7 @@
     def test_a_leader_without_a_quorum_steps_down(self) -> None:
         net = Net("a", "b", "c")
         a = net.elect("a")
-        for _ in range(2 * ELECTION):
+        for _ in range(2 * ELECTION_TICKS):
             a.tick()
             a.out()
         self.assertIs(a.role, Role.FOLLOWER)
@@ -149,7 +149,7 @@
         a.transfer("c")
         with self.assertRaises(NotLeader):
             a.propose([b"x"])
-        for _ in range(ELECTION):
+        for _ in range(ELECTION_TICKS):
             a.tick()
             net.run()
         a.propose([b"x"])
@@ -171,10 +171,10 @@
         b.step(Append("a", "b", 1, 1, 0, rows, 0))
         b.step(Append("a", "b", 1, 1, 0, rows[:1], 0))
         self.assertEqual(b.log.last, 4)
-        self.assertEqual([m.index for m in b.out().after if isinstance(m, Appended)], [4, 2])
+        self.assertEqual([m.index for m in b.out().after if isinstance(m, AppendResponse)], [4, 2])
 
     def test_a_conflict_is_cut_and_what_follows_it_goes(self) -> None:
-        b = member("b", Hard(1, ""), [*first(), Entry(2, 1, 1, b"x"), Entry(3, 1, 1, b"y")])
+        b = member("b", HardState(1, ""), [*first(), Entry(2, 1, 1, b"x"), Entry(3, 1, 1, b"y")])
         b.step(Append("c", "b", 2, 1, 0, [Entry(2, 2, 1, b"z")], 2))
         out = b.out()
         self.assertEqual(([e.data for e in out.entries], b.log.last, b.commit), ([b"z"], 2, 2))
@@ -186,43 +186,45 @@
 
     def test_a_mismatch_is_told_with_a_hint_that_skips_terms(self) -> None:
         rows = [Entry(i, 1, 1) for i in range(2, 50)]
-        b = member("b", Hard(3, ""), [*first(), *rows])
+        b = member("b", HardState(3, ""), [*first(), *rows])
         b.step(Append("a", "b", 3, 60, 3, [], 0))
-        self.assertEqual(b.out().after, [Appended("b", "a", 3, False, 60, 49, 1)])
+        self.assertEqual(b.out().after, [AppendResponse("b", "a", 3, False, 60, 49, 1)])
 
     def test_a_stale_leader_hears_of_the_newer_term(self) -> None:
-        b = member("b", Hard(5, ""))
-        for m in (Append("a", "b", 2, 1, 0, [], 0), Beat("a", "b", 2, 0, 1)):
+        b = member("b", HardState(5, ""))
+        for m in (Append("a", "b", 2, 1, 0, [], 0), Heartbeat("a", "b", 2, 0, 1)):
             b.step(m)
-            self.assertEqual(b.out().after, [Appended("b", "a", 5, False, 0)])
+            self.assertEqual(b.out().after, [AppendResponse("b", "a", 5, False, 0)])
 
     def test_a_snapshot_in_parts_lost_repeated_and_replaced(self) -> None:
         b = member("b", entries=[])
-        parts = [Snap("a", "b", 1, 9, 1, ABC, at, 6, data) for at, data in ((0, b"abc"), (3, b"def"))]
+        parts = [
+            SnapshotChunk("a", "b", 1, 9, 1, ABC, at, 6, data) for at, data in ((0, b"abc"), (3, b"def"))
+        ]
         b.step(parts[1])
-        self.assertEqual(b.out().after, [SnapBack("b", "a", 1, 9, 0)])
+        self.assertEqual(b.out().after, [SnapshotChunkResponse("b", "a", 1, 9, 0)])
         for part in (parts[0], parts[0]):
             b.step(part)
-        self.assertEqual([m.offset for m in b.out().after if isinstance(m, SnapBack)], [3, 3])
+        self.assertEqual([m.offset for m in b.out().after if isinstance(m, SnapshotChunkResponse)], [3, 3])
         b.step(parts[1])
         out = b.out()
         self.assertEqual(out.snapshot, Snapshot(9, 1, ABC, b"abcdef"))
         self.assertEqual((b.commit, b.log.base, b.log.config), (9, 9, ABC))
         b.step(parts[0])  # again: it has it
-        self.assertIn(Appended("b", "a", 1, True, 9), b.out().after)
+        self.assertIn(AppendResponse("b", "a", 1, True, 9), b.out().after)
 
     def test_one_whose_disk_fails_neither_leads_nor_campaigns_nor_votes(self) -> None:
         net = Net("a", "b", "c")
         a = net.elect("a")
         a.give_up()
-        for _ in range(3 * ELECTION):
+        for _ in range(3 * ELECTION_TICKS):
             a.tick()
         self.assertIs(a.role, Role.FOLLOWER)
-        a.step(TakeOver("b", "a", 1))
+        a.step(TimeoutNow("b", "a", 1))
         self.assertIs(a.role, Role.FOLLOWER)
         a.out()
-        a.step(Ask("b", "a", 9, 99, 9))
-        self.assertEqual(a.out().after, [Voted("a", "b", 9, False)])
+        a.step(VoteRequest("b", "a", 9, 99, 9))
+        self.assertEqual(a.out().after, [VoteResponse("a", "b", 9, False)])
 
 
 class Members(unittest.TestCase):
@@ -246,7 +248,7 @@
         a, net.cut = net.members["a"], {"c"}
         a.campaign(force=True)
         settled(a, a.out())
-        net.members["b"].step(Ask("a", "b", 1, 1, 0, force=True))
+        net.members["b"].step(VoteRequest("a", "b", 1, 1, 0, force=True))
         for m in net.members["b"].out().after:
             a.step(m)
         self.assertIs(a.role, Role.LEADER)
@@ -264,7 +266,7 @@
         self.assertIs(a.role, Role.FOLLOWER)
         self.assertTrue(a.removed)
         self.assertIn(net.members["b"].leader, ("b", "c"))
-        for _ in range(5 * ELECTION):
+        for _ in range(5 * ELECTION_TICKS):
             a.tick()
         self.assertEqual(a.out().after, [])  # it campaigns no more
 
@@ -285,12 +287,12 @@
     def test_one_with_a_newer_log_than_ours_is_no_stranger(self) -> None:
         b = member("b")
         b.commit = 1
-        b.step(Ask("d", "b", 2, 9, 1))
-        self.assertEqual(b.out().after, [Voted("b", "d", 2, True)])
+        b.step(VoteRequest("d", "b", 2, 9, 1))
+        self.assertEqual(b.out().after, [VoteResponse("b", "d", 2, True)])
         b = member("b")
         b.commit = 1
-        b.step(Ask("d", "b", 2, 0, 0))
-        self.assertEqual(b.out().after, [Gone("b", "d", 0, 1)])
+        b.step(VoteRequest("d", "b", 2, 0, 0))
+        self.assertEqual(b.out().after, [NotAMember("b", "d", 0, 1)])
 
     def test_every_change_of_members_is_safe(self) -> None:
         found = check_safety(membership(one_at_a_time=True))
@@ -374,9 +376,9 @@
         snapshot = Snapshot(4, 2, ABC, b"x" * (records.PART + 5))
         entries = [Entry(5, 2, 1, b"a"), Entry(6, 3, 2, ABC.pack())]
         found = records.Restored()
-        for record in records.whole(records.Born("c", "a"), Hard(3, "b"), snapshot, entries):
+        for record in records.whole(records.MemberIdentity("c", "a"), HardState(3, "b"), snapshot, entries):
             found.apply(record)
-        self.assertEqual((found.snapshot, found.entries, found.hard), (snapshot, entries, Hard(3, "b")))
+        self.assertEqual((found.snapshot, found.entries, found.hard), (snapshot, entries, HardState(3, "b")))
         found.apply(records.pack(Entry(6, 4, 1, b"new")))
         self.assertEqual([e.term for e in found.entries], [2, 4])
         for bad in (records.pack(Entry(9, 4, 1)), records.pack(Entry(4, 4, 1)), Record(99, 1, b""),
--- a/tests/test_store_sim.py
+++ b/tests/test_store_sim.py
@@ -8,9 +8,9 @@
 import pytest
 from msgspec.structs import replace
 
-from eiderpin.store.messages import Beat, Hard, Message
+from eiderpin.store.messages import HardState, Heartbeat, Message
 from eiderpin.store.raft import Out, Raft
-from tests.store_sim import Broken, Op, linearizable, play
+from tests.store_sim import InvariantViolated, Op, linearizable, play
 
 SEEDS = 30  # in each of the parts that may be played side by side
 
@@ -47,7 +47,7 @@
     def out(self) -> Out:
         out = super().out()
         if out.hard is not None:
-            out.hard = Hard(out.hard.term, "")
+            out.hard = HardState(out.hard.term, "")
         return out
 
 
@@ -84,7 +84,7 @@
     """What a leader knows of the lost disk counts for the copy that took its place."""
 
     def step(self, m: Message) -> None:
-        super().step(replace(m, disk="") if isinstance(m, Beat) else m)
+        super().step(replace(m, disk="") if isinstance(m, Heartbeat) else m)
 
 
 LOSSY = (OldIdentityVotes, CopyCampaigns, CommitOfTheLostDisk)
@@ -95,7 +95,7 @@
     for seed in range(400):
         try:
             play(seed, raft=mutant, lossy=mutant in LOSSY)
-        except (Broken, AssertionError):
+        except (InvariantViolated, AssertionError):
             return
     raise AssertionError(f"{mutant.__name__} was not found in 400 seeds")
 
