--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -46,7 +46,7 @@
         self.hints_until = core.clock.now() + HINTS_WITHIN
         self.learn_at = core.clock.now() + PUBLISH_HINT_INTERVAL_MS
         token = f"{host.member.rng.getrandbits(64):016x}"
-        self.incarnation = Incarnation(name, token, host.member.born.generation)
+        self.incarnation = Incarnation(name, token, host.member.identity.generation)
         self.on_fenced: Callable[[], None] = lambda: None
         self.rejoin = RejoinProgress(core.clock.now())
         self.has_worker_list: Callable[[], bool] = lambda: False
@@ -202,7 +202,7 @@
     def step(self) -> None:
         """The next thing that is to be said to the store."""
         self.come_back()
-        if self.busy or self.host.member.failed or self.is_fenced:
+        if self.busy or self.host.member.disk_failed or self.is_fenced:
             return
         if self.incarnation.claim_state is ClaimState.UNKNOWN:
             self.begin()
