--- a/eiderpin/__main__.py
+++ b/eiderpin/__main__.py
@@ -1,5 +1,7 @@
-"""`python -m eiderpin` is short for `eiderpin run`: one real dispatcher, without what the command line
-needs."""
+"""`python -m eiderpin` runs a dispatcher like `eiderpin run`, without importing the command line's modules.
+
+With arguments, it is the command `eiderpin`.
+"""
 
 import sys
 
--- a/eiderpin/log_stream.py
+++ b/eiderpin/log_stream.py
@@ -1,8 +1,8 @@
-"""Lines for standard error that never hold up whoever writes them.
+"""Writes log lines to standard error without ever blocking.
 
-A pipe whose reader stands still, a terminal that was stopped or a disk that is full takes no line, for a
-while or for good. Lines wait in bounded memory meanwhile; where that is full the least important go first,
-and how many were lost is told once there is room again.
+A pipe whose reader has stalled, a stopped terminal or a full disk accepts no data, for a while or for good.
+Lines are buffered in bounded memory meanwhile. When the buffer is full, lines of the lowest level are dropped
+first, and the number of lost lines is logged once data is accepted again.
 """
 
 from __future__ import annotations
@@ -16,122 +16,129 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-MOST_WAITING = 256 * 1024  # bytes of lines that wait for room
-PIECE = select.PIPE_BUF  # bytes that a pipe with room takes whole
-NO_ROOM = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC, errno.EDQUOT})
+MAX_PENDING_BYTES = 256 * 1024  # of buffered lines
+ATOMIC_WRITE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts so many without blocking
+# Errors after which the data is kept and written later; after any other error it is dropped.
+RETRYABLE_ERRORS = frozenset(
+    {errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC, errno.EDQUOT}
+)
 
-Write = Callable[[bytes], int]  # returns how many bytes were taken; raises OSError
+Writer = Callable[[bytes], int]  # returns the number of bytes written; raises OSError
 
 
-def without_waiting(descriptor: int) -> Write:
-    """A way to write to this descriptor that does not wait, without a change for others that share it."""
+def non_blocking_writer(descriptor: int) -> Writer:
+    """Return a function that writes to `descriptor` without blocking.
+
+    Other processes may share the open file, so its flags stay as they are: O_NONBLOCK would affect them too.
+    """
     mode = os.fstat(descriptor).st_mode
     if stat.S_ISREG(mode):
-        return lambda data: os.write(descriptor, data)  # a full disk says so at once
+        return lambda data: os.write(descriptor, data)  # doesn't wait for space: a full disk is an error
     if stat.S_ISSOCK(mode):
-        peer = socket.socket(fileno=descriptor)
-        return lambda data: peer.send(data, socket.MSG_DONTWAIT)
+        sock = socket.socket(fileno=descriptor)
+        return lambda data: sock.send(data, socket.MSG_DONTWAIT)
     try:
-        own = os.open(f"/proc/self/fd/{descriptor}", os.O_WRONLY | os.O_NONBLOCK | os.O_NOCTTY)
-    except OSError:  # another user's, or no such file system
-        return lambda data: _write_where_there_is_room(descriptor, data)
-    os.dup2(own, descriptor)  # in its place: no descriptor more, and nobody else's flags have changed
-    os.close(own)
+        reopened = os.open(f"/proc/self/fd/{descriptor}", os.O_WRONLY | os.O_NONBLOCK | os.O_NOCTTY)
+    except OSError:  # it belongs to another user, or /proc isn't mounted
+        return lambda data: _write_if_ready(descriptor, data)
+    os.dup2(reopened, descriptor)  # replaces it, so that no further descriptor is used
+    os.close(reopened)
     return lambda data: os.write(descriptor, data)
 
 
-def nowhere(data: bytes) -> int:
-    """A way to write where standard error was closed before we began."""
+def closed_writer(data: bytes) -> int:
+    """A `Writer` for when standard error was closed before the start: it always fails."""
     raise OSError(errno.EBADF, "standard error is closed")
 
 
-def _write_where_there_is_room(descriptor: int, data: bytes) -> int:
+def _write_if_ready(descriptor: int, data: bytes) -> int:
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
     if not poll.poll(0):
         raise BlockingIOError(errno.EAGAIN, "no room")
-    return os.write(descriptor, data[:PIECE])
+    return os.write(descriptor, data[:ATOMIC_WRITE_BYTES])
 
 
 class LogStream:
-    """Takes lines with their levels, and writes them in their order as there is room."""
+    """Writes lines in their order, and buffers them by their level while no data is accepted."""
 
-    def __init__(self, write: Write, most_waiting: int = MOST_WAITING) -> None:
+    def __init__(self, write: Writer, max_pending_bytes: int = MAX_PENDING_BYTES) -> None:
         self._write = write
-        self._most_waiting = most_waiting
-        self._waiting: dict[int, deque[tuple[int, bytes]]] = {}  # by level: numbers in order, and lines
-        self._number = 0
-        self._bytes = 0
-        self._rest = b""  # of the line that is being written ...
-        self._rest_level = 0  # ... its level; 0: it tells of lost lines, ...
-        self._told: Counter[int] = Counter()  # ... of these
-        self.lost: Counter[int] = Counter()  # lines by level, since the last time that this was told
-        self.tell_lost: Callable[[Counter[int]], bytes] | None = None  # makes a line of it
+        self._max_pending_bytes = max_pending_bytes
+        self._pending: dict[int, deque[tuple[int, bytes]]] = {}  # by level: (number in order, line)
+        self._last_number = 0
+        self._pending_bytes = 0
+        self._unwritten = b""  # rest of the line that is being written
+        self._unwritten_level = 0  # level of that line; 0 for the line that reports lost lines
+        self._reported: Counter[int] = Counter()  # what the line that reports lost lines says
+        self.lost: Counter[int] = Counter()  # lost lines by level that have not been reported yet
+        self.format_lost: Callable[[Counter[int]], bytes] | None = None  # formats the line that reports them
 
     def add(self, line: bytes, level: int) -> None:
-        """Write a line, now or as soon as there is room."""
-        if not (self._rest or self._bytes or self.lost):
-            self._rest, self._rest_level = line, level
-            self.push()
+        """Write a line now, or buffer it until data is accepted."""
+        if not (self._unwritten or self._pending_bytes or self.lost):
+            self._unwritten, self._unwritten_level = line, level
+            self.write_pending()
             return
-        self._number += 1
-        self._waiting.setdefault(level, deque()).append((self._number, line))
-        self._bytes += len(line)
-        self.push()
-        while self._bytes > self._most_waiting:
-            self._lose_one()
-
-    def push(self) -> None:
-        """Write what waits, as far as there is room."""
-        while self._rest or self._bytes:
-            if not self._rest:
-                self._rest = self._next_line()
+        self._last_number += 1
+        self._pending.setdefault(level, deque()).append((self._last_number, line))
+        self._pending_bytes += len(line)
+        self.write_pending()
+        while self._pending_bytes > self._max_pending_bytes:
+            self._drop_one()
+
+    def write_pending(self) -> None:
+        """Write buffered lines as far as data is accepted. Never blocks, and raises nothing."""
+        while self._unwritten or self._pending_bytes:
+            if not self._unwritten:
+                self._unwritten = self._next_line()
             try:
-                taken = self._write(self._rest)
+                written = self._write(self._unwritten)
             except OSError as error:
-                if error.errno not in NO_ROOM:  # nobody reads, or the device fails
-                    self._lose_all()
+                if error.errno not in RETRYABLE_ERRORS:  # the reader has gone, or the device fails
+                    self._drop_all()
                 return
-            self._rest = self._rest[taken:]
+            self._unwritten = self._unwritten[written:]
 
     def _next_line(self) -> bytes:
-        """The line that comes next: of those that were lost, or the first that waits."""
-        if self.lost and self.tell_lost is not None:
-            self._told, self.lost, self._rest_level = self.lost, Counter(), 0
-            return self.tell_lost(self._told)
-        level = min(self._levels(), key=lambda lev: self._waiting[lev][0])
-        line = self._waiting[level].popleft()[1]
-        self._bytes -= len(line)
-        self._rest_level = level
+        """Take the next line to write: the report of lost lines, or the oldest buffered line."""
+        if self.lost and self.format_lost is not None:
+            self._reported, self.lost, self._unwritten_level = self.lost, Counter(), 0
+            return self.format_lost(self._reported)
+        level = min(self._pending_levels(), key=lambda lev: self._pending[lev][0])
+        line = self._pending[level].popleft()[1]
+        self._pending_bytes -= len(line)
+        self._unwritten_level = level
         return line
 
-    def _levels(self) -> list[int]:
-        return [level for level, lines in self._waiting.items() if lines]
+    def _pending_levels(self) -> list[int]:
+        return [level for level, lines in self._pending.items() if lines]
 
-    def _lose_one(self) -> None:
-        level = min(self._levels())
-        line = self._waiting[level].popleft()[1]
-        self._bytes -= len(line)
+    def _drop_one(self) -> None:
+        """Drop the oldest line of the lowest level."""
+        level = min(self._pending_levels())
+        line = self._pending[level].popleft()[1]
+        self._pending_bytes -= len(line)
         self.lost[level] += 1
 
-    def _lose_all(self) -> None:
-        """Nobody takes lines now; whoever comes back is told how many there were."""
-        self._rest = b""
-        self.lost += Counter({self._rest_level: 1}) if self._rest_level else self._told
-        while self._bytes:
-            self._lose_one()
+    def _drop_all(self) -> None:
+        """Drop all lines, counted as lost, so that a reader that returns is told how many there were."""
+        self._unwritten = b""
+        self.lost += Counter({self._unwritten_level: 1}) if self._unwritten_level else self._reported
+        while self._pending_bytes:
+            self._drop_one()
 
 
 class LogHandler(logging.Handler):
-    """Formats events into a `LogStream`. A fault in formatting loses the event, and is counted as lost."""
+    """Formats events into a `LogStream`. An event that can't be formatted is counted as lost."""
 
     def __init__(self, stream: LogStream) -> None:
         super().__init__()
         self.stream = stream
-        stream.tell_lost = self._lost_line
+        stream.format_lost = self._format_lost
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one event."""
+        """Format and write one event."""
         try:
             line = self.format(record).encode(errors="replace") + b"\n"
         except Exception:
@@ -139,7 +146,7 @@
             return
         self.stream.add(line, record.levelno)
 
-    def _lost_line(self, lost: Counter[int]) -> bytes:
+    def _format_lost(self, lost: Counter[int]) -> bytes:
         fields = {f"lost_{logging.getLevelName(level).lower()}": count for level, count in lost.items()}
         record = logging.makeLogRecord(
             {"name": "eiderpin", "levelno": logging.WARNING, "levelname": "WARNING",
--- a/eiderpin/parts/__init__.py
+++ b/eiderpin/parts/__init__.py
@@ -1,1 +1,1 @@
-"""What our own file of further parts says, checked; nothing of a part that is off is imported."""
+"""Reads and validates the sections of the file of optional features; imports nothing of the features."""
--- a/eiderpin/parts/durable.py
+++ b/eiderpin/parts/durable.py
@@ -1,4 +1,4 @@
-"""What the configuration says of durable jobs."""
+"""The options of durable jobs, which are kept in a ledger on disk and survive a restart."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 @dataclass(slots=True)
 class DurableOptions:
-    """Where they are kept and for how long; times in ms."""
+    """Where durable jobs are kept and for how long."""
 
     folder: str
     classes: frozenset[str]
-    keep_ms: float = 3_600_000.0  # for which answers are kept for resubmissions
-    max_answers: int = 100_000  # answers kept
-    max_results_mb: float = 64.0  # of results kept
-    silence_ms: float = 10_000.0  # without a word from its worker after which a lease is over
+    keep_ms: float = 3_600_000.0  # answers are kept so long for clients that submit a job again
+    max_answers: int = 100_000  # that are kept
+    max_results_mb: float = 64.0  # that are kept, in MiB
+    silence_ms: float = 10_000.0  # a lease expires when its worker has sent nothing for so long
 
 
-# name in the file: field, factor, least, most
-FIGURES = {
+# By key: the field of `DurableOptions`, the factor to its unit, and the smallest and largest value.
+NUMBERS = {
     "keep_s": ("keep_ms", 1000.0, 1.0, 30 * 86400.0),
     "keep_most": ("max_answers", 1.0, 1.0, 10_000_000.0),
     "keep_mb": ("max_results_mb", 1.0, 1.0, 65536.0),
@@ -28,31 +28,33 @@
 }
 
 
-def read_options(said: Any, classes: Collection[str]) -> DurableOptions | None:
-    """The `durable` part of a configuration; None where it names no directory. Raises `ValueError`."""
-    if not isinstance(said, dict):
+def read_options(section: Any, classes: Collection[str]) -> DurableOptions | None:
+    """Read the section `durable`; None where it names no directory. Raises `ValueError`."""
+    if not isinstance(section, dict):
         raise ValueError("durable: an object is needed")
-    known = {"directory", "classes", *FIGURES}
-    for name in said:
-        if name not in known:
-            there = ", ".join(sorted(known))
-            raise ValueError(f"durable.{name}: there is no such setting; there are {there}")
-    folder, named = said.get("directory") or "", said.get("classes") or []
+    keys = {"directory", "classes", *NUMBERS}
+    for name in section:
+        if name not in keys:
+            key_list = ", ".join(sorted(keys))
+            raise ValueError(f"durable.{name}: there is no such setting; there are {key_list}")
+    folder, class_names = section.get("directory") or "", section.get("classes") or []
     if not isinstance(folder, str):
         raise ValueError(f"durable.directory: {folder!r} is no path")
     if not folder:
         return None
-    if not isinstance(named, list) or not named:
+    if not isinstance(class_names, list) or not class_names:
         raise ValueError("durable.classes: a list of classes is needed")
-    for name in named:
+    for name in class_names:
         if name not in classes:
             raise ValueError(f"durable.classes: there is no class {name!r}; there are {', '.join(classes)}")
-    options = DurableOptions(folder, frozenset(named))
-    for name, (field, factor, least, most) in FIGURES.items():
-        value = said.get(name)
+    options = DurableOptions(folder, frozenset(class_names))
+    for name, (field, factor, minimum, maximum) in NUMBERS.items():
+        value = section.get(name)
         if value is None:
             continue
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise ValueError(f"durable.{name}: {value!r}; a number from {least:g} to {most:g} is expected")
+        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+            raise ValueError(
+                f"durable.{name}: {value!r}; a number from {minimum:g} to {maximum:g} is expected"
+            )
         setattr(options, field, int(value) if field == "max_answers" else value * factor)
     return options
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -555,7 +555,7 @@
         """Decide on what the turn has brought, and write out what waits."""
         self.core.decide()
         if self.log_stream is not None:
-            self.log_stream.push()
+            self.log_stream.write_pending()
         if self.ledger is not None:
             self.ledger.push()
         if self.store is not None:
--- a/eiderpin/wire.py
+++ b/eiderpin/wire.py
@@ -1,7 +1,7 @@
-"""Codec between the simulator's wire and the module's types. It decides nothing.
+"""Codec between the simulator's wire format and the types of `eiderpin.interface`. It makes no decisions.
 
-Unknown keys and unknown kinds of event are skipped. What is not a legal batch raises `WireError`, whose
-text is one plain line.
+Unknown keys and unknown kinds of event are ignored. An invalid batch raises `WireError`, invalid settings
+raise `api.SettingsError`; the message is one line.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class WireError(ValueError):
-    """The input is not a legal batch."""
+    """The input isn't a valid batch."""
 
 
 WorkerEntries = list[api.WorkerEntry]
@@ -47,27 +47,33 @@
     "single_shot": api.Repeat.SINGLE_SHOT,
 }
 _SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
-# What a report value may be called, and in the words of family_info for x0 and x1.
-_REPORT = {
+# Fields of `api.Report` by the keys that carry them at every site.
+_REPORT_FIELDS = {
     "outstanding": "in_flight", "inflight": "in_flight", "backlog": "queued", "queue": "queued",
 }  # fmt: skip
-_REPORT_WORDS = {"free slots": "free_slots", "free memory": "free_memory"}
+# What the keys x0 and x1 carry differs between sites: family_info describes it in these words.
+_REPORT_FIELDS_BY_MEANING = {"free slots": "free_slots", "free memory": "free_memory"}
 
 
 # ---- settings ------------------------------------------------------------------------------------------
 
 
-def _get(where: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any, path: str = "") -> Any:
-    value = where.get(key)
+def _get(
+    section: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any, path: str = ""
+) -> Any:
+    """The value under `key` if it is of the type `kind`, else `default` if there is none; `path` names the
+    section in errors. Raises `api.SettingsError`."""
+    value = section.get(key)
     if value is None:
         return default
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise api.SettingsError(f"conf.{path}{key}: {value!r} is not of the expected kind")
+        raise api.SettingsError(f"conf.{path}{key}: {value!r} has the wrong type")
     return value
 
 
-def _word(where: dict[str, Any], key: str, words: dict[str, Any], default: Any, path: str) -> Any:
-    value = _get(where, key, str, None, path)
+def _word(section: dict[str, Any], key: str, words: dict[str, Any], default: Any, path: str) -> Any:
+    """Like `_get`, for a string that must be one of `words`; returns what the word stands for."""
+    value = _get(section, key, str, None, path)
     if value is None:
         return default
     if value not in words:
@@ -75,7 +81,7 @@
     return words[value]
 
 
-def _at(values: list[Any], index: int, default: Any) -> Any:
+def _value_at(values: list[Any], index: int, default: Any) -> Any:
     return values[index] if index < len(values) else default
 
 
@@ -83,7 +89,10 @@
 
 
 def decode_settings(conf: Any) -> tuple[api.Settings, dict[str, str]]:
-    """The settings, and the names that report values go by at this site."""
+    """Decode the settings; also return the fields of `api.Report` by the keys that carry them at this site.
+
+    Raises `api.SettingsError`.
+    """
     if not isinstance(conf, dict):
         raise api.SettingsError("conf: an object is needed")
     family = _get(conf, "family_info", dict, {})
@@ -96,180 +105,188 @@
     kinds = _get(family, "class_kind", list, [], "family_info.")
     priorities = _get(family, "class_priority", list, [], "family_info.")
     classes = []
-    for i, c in enumerate(_get(conf, "classes", list, [])):
+    for i, row in enumerate(_get(conf, "classes", list, [])):
         path = f"classes[{i}]."
-        if not isinstance(c, dict):
+        if not isinstance(row, dict):
             raise api.SettingsError(f"conf.classes[{i}]: an object is needed")
-        kind = _at(kinds, i, -1)
-        d = api.RequestClass(name=_get(c, "name", str, "", path))
-        d.aim = _get(c, "aim", _NUMBER, d.aim, path)
-        d.aim_stretch = _get(c, "aim_stretch", _NUMBER, _at(stretch, i, d.aim_stretch), path)
-        d.deadline = _get(c, "hard_limit", _NUMBER, d.deadline, path)
-        d.worth = _get(c, "importance", _NUMBER, d.worth, path)
-        d.late_worth = _get(c, "late_worth", _NUMBER, d.late_worth, path)
-        d.repeat = _word(c, "repeat", _REPEATS, d.repeat, path)
-        d.scope = _word(c, "key_scope", _SCOPES, d.scope, path)
-        d.memory_span = _get(c, "memory_span", _NUMBER, d.memory_span, path)
-        d.streaming = _get(c, "streaming", bool, d.streaming, path)
-        d.shape = shapes[kind] if isinstance(kind, int) and 0 <= kind < len(shapes) else None
-        d.priority = _at(priorities, i, 0)
-        classes.append(d)
-    s = api.Settings(classes=classes)
-    s.instances = _get(conf, "n_instances", int, s.instances)
-    s.instance = _get(conf, "slot_no", int, s.instance)
-    s.zone = _get(conf, "zone", str, s.zone)
-    for i, t in enumerate(_get(conf, "realms", list, [])):
-        if not isinstance(t, dict):
+        kind = _value_at(kinds, i, -1)
+        spec = api.RequestClass(name=_get(row, "name", str, "", path))
+        spec.aim = _get(row, "aim", _NUMBER, spec.aim, path)
+        spec.aim_stretch = _get(row, "aim_stretch", _NUMBER, _value_at(stretch, i, spec.aim_stretch), path)
+        spec.deadline = _get(row, "hard_limit", _NUMBER, spec.deadline, path)
+        spec.worth = _get(row, "importance", _NUMBER, spec.worth, path)
+        spec.late_worth = _get(row, "late_worth", _NUMBER, spec.late_worth, path)
+        spec.repeat = _word(row, "repeat", _REPEATS, spec.repeat, path)
+        spec.scope = _word(row, "key_scope", _SCOPES, spec.scope, path)
+        spec.memory_span = _get(row, "memory_span", _NUMBER, spec.memory_span, path)
+        spec.streaming = _get(row, "streaming", bool, spec.streaming, path)
+        spec.shape = shapes[kind] if isinstance(kind, int) and 0 <= kind < len(shapes) else None
+        spec.priority = _value_at(priorities, i, 0)
+        classes.append(spec)
+    settings = api.Settings(classes=classes)
+    settings.instances = _get(conf, "n_instances", int, settings.instances)
+    settings.instance = _get(conf, "slot_no", int, settings.instance)
+    settings.zone = _get(conf, "zone", str, settings.zone)
+    for i, row in enumerate(_get(conf, "realms", list, [])):
+        if not isinstance(row, dict):
             raise api.SettingsError(f"conf.realms[{i}]: an object is needed")
         path = f"realms[{i}]."
-        s.tenants.append(
+        settings.tenants.append(
             api.Tenant(
-                _get(t, "name", str, "", path),
-                _get(t, "allowance_per_s", _NUMBER, 0.0, path),
-                _get(t, "share", _NUMBER, 0.0, path),
+                _get(row, "name", str, "", path),
+                _get(row, "allowance_per_s", _NUMBER, 0.0, path),
+                _get(row, "share", _NUMBER, 0.0, path),
             )
         )
-    s.over_share_worth = _get(conf, "over_share_worth", _NUMBER, s.over_share_worth)
-    s.worth_by_work = _get(conf, "worth_by", str, "request") == "work"
-    s.tick = _get(conf, "tick", _NUMBER, s.tick)
-    s.must_ask = _get(conf, "discovery", str, "pushed") == "on_request"
-    s.ask_within = _get(rules, "ask_within", _NUMBER, s.ask_within, "rules.")
-    s.max_attempts = _get(limits, "try_limit", int, s.max_attempts, "limits.")
-    s.parallel_attempts = _get(limits, "parallel_tries", bool, s.parallel_attempts, "limits.")
-    s.may_cancel = _get(limits, "may_cancel", bool, s.may_cancel, "limits.")
-    s.may_probe = _get(limits, "probes", bool, s.may_probe, "limits.")
-    s.may_tell_peers = _get(limits, "peers", bool, s.may_tell_peers, "limits.")
-    s.may_advise_wait = _get(limits, "retry_after", bool, s.may_advise_wait, "limits.")
-    s.max_wait_advice = _get(limits, "max_retry_after", _NUMBER, s.max_wait_advice, "limits.")
-    s.connect_timeout = _get(limits, "connect_timeout", _NUMBER, s.connect_timeout, "limits.")
-    s.conn_idle = _get(limits, "conn_idle", _NUMBER, s.conn_idle, "limits.")
-    s.most_held = _get(limits, "most_held", int, s.most_held, "limits.")
+    settings.over_share_worth = _get(conf, "over_share_worth", _NUMBER, settings.over_share_worth)
+    settings.worth_by_work = _get(conf, "worth_by", str, "request") == "work"
+    settings.tick = _get(conf, "tick", _NUMBER, settings.tick)
+    settings.must_ask = _get(conf, "discovery", str, "pushed") == "on_request"
+    settings.ask_within = _get(rules, "ask_within", _NUMBER, settings.ask_within, "rules.")
+    settings.max_attempts = _get(limits, "try_limit", int, settings.max_attempts, "limits.")
+    settings.parallel_attempts = _get(limits, "parallel_tries", bool, settings.parallel_attempts, "limits.")
+    settings.may_cancel = _get(limits, "may_cancel", bool, settings.may_cancel, "limits.")
+    settings.may_probe = _get(limits, "probes", bool, settings.may_probe, "limits.")
+    settings.may_tell_peers = _get(limits, "peers", bool, settings.may_tell_peers, "limits.")
+    settings.may_advise_wait = _get(limits, "retry_after", bool, settings.may_advise_wait, "limits.")
+    settings.max_wait_advice = _get(limits, "max_retry_after", _NUMBER, settings.max_wait_advice, "limits.")
+    settings.connect_timeout = _get(limits, "connect_timeout", _NUMBER, settings.connect_timeout, "limits.")
+    settings.conn_idle = _get(limits, "conn_idle", _NUMBER, settings.conn_idle, "limits.")
+    settings.most_held = _get(limits, "most_held", int, settings.most_held, "limits.")
     source = _get(report, "source", str, "silent", "report.")
-    s.reports_in_answers = source == "piggyback"
-    s.reports_in_probes = source in ("piggyback", "pull")
-    s.tells_start = _get(family, "tells_start", bool, s.tells_start, "family_info.")
-    s.starts_in_order = _get(family, "queue_order", str, "", "family_info.") == "fifo"
-    s.progress_every = _get(family, "progress", _NUMBER, s.progress_every, "family_info.")
+    settings.reports_in_answers = source == "piggyback"
+    settings.reports_in_probes = source in ("piggyback", "pull")
+    settings.tells_start = _get(family, "tells_start", bool, settings.tells_start, "family_info.")
+    settings.starts_in_order = _get(family, "queue_order", str, "", "family_info.") == "fifo"
+    settings.progress_every = _get(family, "progress", _NUMBER, settings.progress_every, "family_info.")
     weights = _get(conf, "weights", str, "silent")
-    s.live_ratings = weights == "live"
-    s.ratings = weights != "silent"
-    s.answer_grace = _get(rules, "grace_to_answer", _NUMBER, s.answer_grace, "rules.")
-    s.drain_grace = _get(rules, "drain_grace", _NUMBER, s.drain_grace, "rules.")
-    s.cold_share = _get(rules, "cold_share", _NUMBER, s.cold_share, "rules.")
-    s.warm_up = _get(rules, "warm_up", _NUMBER, s.warm_up, "rules.")
-    s.cold_multiple = _get(rules, "fall_multiple", _NUMBER, s.cold_multiple, "rules.")
-    s.cold_window = _get(rules, "fall", _NUMBER, s.cold_window, "rules.")
-    s.price_cross_zone = _get(prices, "cross_zone", _NUMBER, 0.0, "prices.")
-    s.price_probe = _get(prices, "probe", _NUMBER, 0.0, "prices.")
-    s.price_waste = _get(prices, "waste", _NUMBER, 0.0, "prices.")
-    names = dict(_REPORT)
-    for x in ("x0", "x1"):
-        meaning = family.get(f"report_{x}")
-        if meaning in _REPORT_WORDS:
-            names[x] = _REPORT_WORDS[meaning]
-    s.report_names = names
-    s.check()
-    return s, names
+    settings.live_ratings = weights == "live"
+    settings.ratings = weights != "silent"
+    settings.answer_grace = _get(rules, "grace_to_answer", _NUMBER, settings.answer_grace, "rules.")
+    settings.drain_grace = _get(rules, "drain_grace", _NUMBER, settings.drain_grace, "rules.")
+    settings.cold_share = _get(rules, "cold_share", _NUMBER, settings.cold_share, "rules.")
+    settings.warm_up = _get(rules, "warm_up", _NUMBER, settings.warm_up, "rules.")
+    settings.cold_multiple = _get(rules, "fall_multiple", _NUMBER, settings.cold_multiple, "rules.")
+    settings.cold_window = _get(rules, "fall", _NUMBER, settings.cold_window, "rules.")
+    settings.price_cross_zone = _get(prices, "cross_zone", _NUMBER, 0.0, "prices.")
+    settings.price_probe = _get(prices, "probe", _NUMBER, 0.0, "prices.")
+    settings.price_waste = _get(prices, "waste", _NUMBER, 0.0, "prices.")
+    names = dict(_REPORT_FIELDS)
+    for name in ("x0", "x1"):
+        meaning = family.get(f"report_{name}")
+        if meaning in _REPORT_FIELDS_BY_MEANING:
+            names[name] = _REPORT_FIELDS_BY_MEANING[meaning]
+    settings.report_names = names
+    settings.check()
+    return settings, names
 
 
 # ---- events --------------------------------------------------------------------------------------------
 
 
 def decode_workers(lines: Any) -> WorkerEntries:
-    """The entries of one numbered list."""
+    """Decode the workers of a numbered list, to which later events refer by its number."""
     return [
         api.WorkerEntry(
-            e["worker"],
-            e.get("failure_domain") or "",
-            e.get("hw") or "",
-            e.get("cohort") or 0,
-            _STATES[e["condition"]],
-            e.get("rating") or 1.0,
-            e.get("born") or None,
+            row["worker"],
+            row.get("failure_domain") or "",
+            row.get("hw") or "",
+            row.get("cohort") or 0,
+            _STATES[row["condition"]],
+            row.get("rating") or 1.0,
+            row.get("born") or None,
         )
-        for e in lines
+        for row in lines
     ]
 
 
-ReportNames = dict[str, str]
+ReportNames = dict[str, str]  # fields of `api.Report` by the keys that carry them
 
 
-def _report(info: Any, names: ReportNames) -> api.Report | None:
-    if not info:
+def _decode_report(health_info: Any, names: ReportNames) -> api.Report | None:
+    if not health_info:
         return None
     report = api.Report()
-    for key, value in info.items():
-        known = names.get(key)
-        if known is not None:
-            setattr(report, known, value)
+    for key, value in health_info.items():
+        field = names.get(key)
+        if field is not None:
+            setattr(report, field, value)
     return report
 
 
-def _request(e: dict[str, Any], names: ReportNames) -> api.Request:
+def _decode_request(message: dict[str, Any], names: ReportNames) -> api.Request:
     return api.Request(
-        e["rid"],
-        e["class"],
-        e["expires_in"],
-        e.get("width") or 1.0,
-        e.get("mem_needed") or 0.0,
-        e.get("owner") or None,
-        e.get("route_key"),
-        e.get("predicted"),
-        bool(e.get("again_by_client")),
+        message["rid"],
+        message["class"],
+        message["expires_in"],
+        message.get("width") or 1.0,
+        message.get("mem_needed") or 0.0,
+        message.get("owner") or None,
+        message.get("route_key"),
+        message.get("predicted"),
+        bool(message.get("again_by_client")),
     )
 
 
-def _ended(e: dict[str, Any], names: ReportNames) -> api.AttemptEnded:
+def _decode_attempt_ended(message: dict[str, Any], names: ReportNames) -> api.AttemptEnded:
     return api.AttemptEnded(
-        e["rid"],
-        e["go"],
-        e["worker"],
-        _OUTCOMES[e["status"]],
-        e.get("wait_time") or 0.0,
-        bool(e.get("final")),
-        _report(e.get("health_info"), names),
+        message["rid"],
+        message["go"],
+        message["worker"],
+        _OUTCOMES[message["status"]],
+        message.get("wait_time") or 0.0,
+        bool(message.get("final")),
+        _decode_report(message.get("health_info"), names),
     )
 
 
-def _progress(e: dict[str, Any], names: ReportNames) -> api.Progress:
-    return api.Progress(e["rid"], e["go"], e["worker"], e["what"] == 1, e.get("level") or 0.0)
+def _decode_progress(message: dict[str, Any], names: ReportNames) -> api.Progress:
+    return api.Progress(
+        message["rid"], message["go"], message["worker"], message["what"] == 1, message.get("level") or 0.0
+    )
 
 
-def _probed(e: dict[str, Any], names: ReportNames) -> api.ProbeEnded:
+def _decode_probe_ended(message: dict[str, Any], names: ReportNames) -> api.ProbeEnded:
     return api.ProbeEnded(
-        e["worker"], e["status"] == "done", e.get("wait_time") or 0.0, _report(e.get("health_info"), names)
+        message["worker"],
+        message["status"] == "done",
+        message.get("wait_time") or 0.0,
+        _decode_report(message.get("health_info"), names),
     )
 
 
 _EVENTS: dict[str, Callable[[dict[str, Any], ReportNames], api.Event]] = {
-    "JOB_IN": _request,
-    "ANSWER": _ended,
-    "CHANGE": _progress,
-    "PROBE_DONE": _probed,
-    "FIRST": lambda e, _: api.StreamStarted(e["rid"], e["go"], e["worker"]),
-    "LAPSED": lambda e, _: api.RequestGone(e["rid"]),
-    "ALARM": lambda e, _: api.TimerFired(e["handle"]),
-    "NOTE_FROM": lambda e, _: api.PeerMessage(e["src_peer"], bytes.fromhex(e.get("octets") or "")),
+    "JOB_IN": _decode_request,
+    "ANSWER": _decode_attempt_ended,
+    "CHANGE": _decode_progress,
+    "PROBE_DONE": _decode_probe_ended,
+    "FIRST": lambda message, _: api.StreamStarted(message["rid"], message["go"], message["worker"]),
+    "LAPSED": lambda message, _: api.RequestGone(message["rid"]),
+    "ALARM": lambda message, _: api.TimerFired(message["handle"]),
+    "NOTE_FROM": lambda message, _: api.PeerMessage(
+        message["src_peer"], bytes.fromhex(message.get("octets") or "")
+    ),
 }
 
 
-def decode_event(e: dict[str, Any], names: ReportNames) -> api.Event | None:
-    """One event in the module's types; None for a kind that is not known."""
-    make = _EVENTS.get(e["m"])
-    return None if make is None else make(e, names)
+def decode_event(message: dict[str, Any], names: ReportNames) -> api.Event | None:
+    """Decode one event; None for an unknown kind."""
+    decode = _EVENTS.get(message["m"])
+    return None if decode is None else decode(message, names)
 
 
-def decode_membership(e: dict[str, Any], lists: dict[int, WorkerEntries]) -> api.Membership:
-    kind = _LISTS[e["kind"]]
-    return api.Membership(kind, [] if kind is api.ListKind.FAILED else lists[e["slot"]])
+def decode_membership(message: dict[str, Any], lists: dict[int, WorkerEntries]) -> api.Membership:
+    """Decode an event about the list of workers, with its entries from the numbered `lists`."""
+    kind = _LISTS[message["kind"]]
+    return api.Membership(kind, [] if kind is api.ListKind.FAILED else lists[message["slot"]])
 
 
 def decode_batch(line: bytes) -> tuple[float, list[dict[str, Any]]]:
-    """The clock and the groups of one line."""
+    """Decode one line: the time in ms, and a group of events for each dispatcher. Raises `WireError`."""
     try:
         data = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise WireError(f"a line is not JSON: {error}") from None
+        raise WireError(f"the line is not JSON: {error}") from None
     if not isinstance(data, dict):
         raise WireError("a batch must be an object")
     now, groups = data.get("at_time"), data.get("dispatchers")
@@ -283,35 +300,35 @@
 # ---- actions -------------------------------------------------------------------------------------------
 
 
-def encode_action(a: api.Action) -> dict[str, Any]:
-    """One action as the wire has it."""
-    return _ACTIONS[type(a)](a)
+def encode_action(action: api.Action) -> dict[str, Any]:
+    """Encode one action."""
+    return _ACTIONS[type(action)](action)
 
 
-def _send(a: api.Send) -> dict[str, Any]:
-    sent = {"m": "CALL_OUT", "rid": a.request, "worker": a.worker}
-    return sent if a.timeout is None else {**sent, "allow_for": a.timeout}
+def _encode_send(action: api.Send) -> dict[str, Any]:
+    sent = {"m": "CALL_OUT", "rid": action.request, "worker": action.worker}
+    return sent if action.timeout is None else {**sent, "allow_for": action.timeout}
 
 
-def _refuse(a: api.Refuse) -> dict[str, Any]:
-    said = {"m": "SAY_NO", "rid": a.request}
-    return said if a.wait is None else {**said, "stay_away": a.wait}
+def _encode_refuse(action: api.Refuse) -> dict[str, Any]:
+    refused = {"m": "SAY_NO", "rid": action.request}
+    return refused if action.wait is None else {**refused, "stay_away": action.wait}
 
 
 _ACTIONS: dict[type, Callable[[Any], dict[str, Any]]] = {
-    api.Send: _send,
-    api.Refuse: _refuse,
-    api.Fail: lambda a: {"m": "SURRENDER", "rid": a.request},
-    api.Cancel: lambda a: {"m": "UNDO_SEND", "rid": a.request, "go": a.attempt},
-    api.SetTimer: lambda a: {"m": "REMIND", "alarm_time": a.at, "handle": a.handle},
-    api.Probe: lambda a: {"m": "CHECK", "worker": a.worker},
-    api.Watch: lambda a: {"m": "KEEP_INFORMED", "want": a.on},
-    api.FetchList: lambda a: {"m": "RESOLVE"},
-    api.Log: lambda a: {"m": "DEBUG", "message": a.text},
+    api.Send: _encode_send,
+    api.Refuse: _encode_refuse,
+    api.Fail: lambda action: {"m": "SURRENDER", "rid": action.request},
+    api.Cancel: lambda action: {"m": "UNDO_SEND", "rid": action.request, "go": action.attempt},
+    api.SetTimer: lambda action: {"m": "REMIND", "alarm_time": action.at, "handle": action.handle},
+    api.Probe: lambda action: {"m": "CHECK", "worker": action.worker},
+    api.Watch: lambda action: {"m": "KEEP_INFORMED", "want": action.on},
+    api.FetchList: lambda action: {"m": "RESOLVE"},
+    api.Log: lambda action: {"m": "DEBUG", "message": action.text},
 }
 
 
 def encode_reply(groups: list[tuple[str, list[api.Action]]]) -> bytes:
-    """One reply line."""
+    """Encode the reply to a batch: one line with the actions of each dispatcher by its name."""
     body = [{"i": name, "outbox": [encode_action(a) for a in actions]} for name, actions in groups]
     return orjson.dumps({"dispatchers": body}) + b"\n"
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -29,7 +29,7 @@
 import pytest
 
 from eiderpin import logs
-from eiderpin.log_stream import LogHandler, LogStream, without_waiting
+from eiderpin.log_stream import LogHandler, LogStream, non_blocking_writer
 from tests.crossing import job_request
 from tests.standins import PATIENCE, ROOT, Discovery, http_call, wait_for
 from tests.test_shutdown_deadline import HangingWorker, earliest_kill, with_deadlines
@@ -60,8 +60,8 @@
 @pytest.fixture
 def pair() -> Iterator[tuple[Reader, LogStream]]:
     reader = Reader()
-    stream = LogStream(reader.write, most_waiting=1000)
-    stream.tell_lost = lambda lost: f"lost {sorted(lost.items())}\n".encode()
+    stream = LogStream(reader.write, max_pending_bytes=1000)
+    stream.format_lost = lambda lost: f"lost {sorted(lost.items())}\n".encode()
     yield reader, stream
 
 
@@ -76,9 +76,9 @@
     rng = random.Random(4)
     for number in range(200):
         stream.add(line(number), rng.choice((DEBUG, INFO, ERROR)))
-        while stream._bytes or stream._rest:
+        while stream._pending_bytes or stream._unwritten:
             reader.room = rng.randrange(1, 60)
-            stream.push()
+            stream.write_pending()
     assert reader.got == b"".join(line(number) for number in range(200))
     assert not stream.lost
 
@@ -87,9 +87,9 @@
     reader, stream = pair
     for number in range(30):
         stream.add(line(number), ERROR if number % 6 == 0 else DEBUG)
-    assert stream._bytes <= 1000
+    assert stream._pending_bytes <= 1000
     reader.room = 1 << 20
-    stream.push()
+    stream.write_pending()
     said = reader.got.decode().splitlines()
     assert [int(x[:3]) for x in said if x[:3] in ("000", "006", "012", "018", "024")] == [0, 6, 12, 18, 24]
     assert said[1] == f"lost [({DEBUG}, 19)]"  # behind the one that was being written
@@ -104,7 +104,7 @@
     reader.fails = OSError(number, "gone")
     for at in range(100):
         stream.add(line(at), INFO)
-    assert stream._bytes == 0
+    assert stream._pending_bytes == 0
     reader.fails, reader.room = None, 1 << 20
     stream.add(line(100), INFO)
     assert reader.got == f"lost [({INFO}, 100)]\n".encode() + line(100)
@@ -118,14 +118,14 @@
     reader.fails = OSError(errno.ENOSPC, "full")
     stream.add(line(2), INFO)
     reader.fails, reader.room = None, 1 << 20
-    stream.push()
+    stream.write_pending()
     assert reader.got == line(0) + line(1) + line(2)
 
 
 def test_a_pipe_that_others_hold_too_keeps_its_flags() -> None:
     ours, theirs = os.pipe()
     shared = os.dup(theirs)
-    write = without_waiting(theirs)
+    write = non_blocking_writer(theirs)
     assert not fcntl.fcntl(shared, fcntl.F_GETFL) & os.O_NONBLOCK
     with pytest.raises(BlockingIOError):
         while True:
@@ -138,7 +138,7 @@
     reader = Reader()
     reader.room = 1 << 20
     handler = LogHandler(LogStream(reader.write))
-    handler.setFormatter(logs._json())
+    handler.setFormatter(logs._json_formatter())
     logger = logging.Logger("test")
     logger.addHandler(handler)
     logger.info("%d", "no number")
