--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -1,4 +1,4 @@
-"""One deployment after another, and beside it: nothing of one shows in the next."""
+"""Deployments with different settings, one after another or side by side, must not influence each other."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.crossing import callback_request, job_request, running_harness
 from tests.standins import SETTINGS, Discovery, HttpWorker, Program, http_call, wait_for
 
-OTHER: dict[str, Any] = {
+OTHER_SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "label", "aim": 90.0, "hard_limit": 1500.0, "importance": 2, "repeat": "guarded",
          "key_scope": "all", "memory_span": 700.0},
@@ -37,49 +37,53 @@
 }  # fmt: skip
 
 
-def shared_state() -> dict[str, Any]:
-    """Every container that a module of the program keeps for all who use it."""
-    kept = {}
+def module_containers() -> dict[str, Any]:
+    """Every mutable container at the level of a module of the program, by its full name."""
+    containers = {}
     for found in pkgutil.walk_packages(eiderpin.__path__, "eiderpin."):
         if found.name.endswith("__main__"):
             continue
         module = importlib.import_module(found.name)
         for name, value in vars(module).items():
             if isinstance(value, dict | list | set | bytearray) and not name.startswith("__"):
-                kept[f"{found.name}.{name}"] = value
-    return kept
-
-
-def play(settings: dict[str, Any], seed: int) -> list[tuple[Any, ...]]:
-    """What the decisions do with the same day under these settings."""
-    said = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings}
-    read = read_config(json.dumps(said).encode()).settings
-    d, rng, did = Dispatcher(read, seed), random.Random(seed), []
-    d.handle(1000.0, [listed([entry(f"w{i}", zone=read.zone) for i in range(6)])])
-    for i in range(120):
-        now = 1001.0 + 12 * i
-        spec = read.classes[rng.randrange(len(read.classes))]
-        events: list[api.Event] = [api.Request(i, spec.name, spec.deadline), api.TimerFired(d.timer_handle)]
-        for sent in sends(d.handle(now, events)):
+                containers[f"{found.name}.{name}"] = value
+    return containers
+
+
+def run_decisions(settings: dict[str, Any], seed: int) -> list[tuple[Any, ...]]:
+    """The attempts, as request and worker, that a dispatcher decides on in a random run of 120 requests."""
+    document = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings}
+    parsed = read_config(json.dumps(document).encode()).settings
+    dispatcher, rng, attempts = Dispatcher(parsed, seed), random.Random(seed), []
+    dispatcher.handle(1000.0, [listed([entry(f"w{i}", zone=parsed.zone) for i in range(6)])])
+    for request in range(120):
+        now = 1001.0 + 12 * request
+        spec = parsed.classes[rng.randrange(len(parsed.classes))]
+        events: list[api.Event] = [
+            api.Request(request, spec.name, spec.deadline), api.TimerFired(dispatcher.timer_handle)
+        ]  # fmt: skip
+        for sent in sends(dispatcher.handle(now, events)):
             outcome = rng.choice(list(api.Outcome))
-            number = d.jobs[sent.request].sends - 1
-            did.append((sent.request, sent.worker))
-            d.handle(now, [api.AttemptEnded(sent.request, number, sent.worker, outcome, 5.0,
-                                            outcome is api.Outcome.DONE)])  # fmt: skip
-    return did
+            number = dispatcher.jobs[sent.request].sends - 1
+            attempts.append((sent.request, sent.worker))
+            dispatcher.handle(now, [api.AttemptEnded(sent.request, number, sent.worker, outcome, 5.0,
+                                                     outcome is api.Outcome.DONE)])  # fmt: skip
+    return attempts
 
 
-class OneAfterAnother(unittest.TestCase):
-    def test_the_same_day_is_the_same_whatever_was_played_before_it(self) -> None:
-        alone = play(OTHER, 3)
+class Isolation(unittest.TestCase):
+    def test_decisions_do_not_depend_on_dispatchers_that_ran_before(self) -> None:
+        """Learned figures kept outside the dispatcher would make a run depend on earlier ones."""
+        alone = run_decisions(OTHER_SETTINGS, 3)
         self.assertGreater(len(alone), 30)
         for seed in range(5):
-            play(SETTINGS, seed)
-        self.assertEqual(play(OTHER, 3), alone)
+            run_decisions(SETTINGS, seed)
+        self.assertEqual(run_decisions(OTHER_SETTINGS, 3), alone)
 
-    def test_no_module_keeps_anything_of_a_deployment(self) -> None:
-        before = {k: copy.copy(v) for k, v in shared_state().items() if "bytearray" not in str(type(v))}
-        for settings in (SETTINGS, OTHER):
+    def test_no_module_level_container_changes(self) -> None:
+        """State of a deployment in a module's container would show up in the next one of the same process."""
+        before = {k: copy.copy(v) for k, v in module_containers().items() if "bytearray" not in str(type(v))}
+        for settings in (SETTINGS, OTHER_SETTINGS):
             with running_harness(settings={**settings, "discovery": "pushed"}) as harness:
                 client = harness.client()
                 client.send(job_request("result-post", "a", 3000))
@@ -89,14 +93,16 @@
                 name = next(w.name for w in harness.workers if w.begun())
                 harness.client().send(callback_request("a", name, "done", result="x"))
                 harness.run_until(client.read_available, "its answer")
-        after = shared_state()
+        after = module_containers()
         self.assertEqual({k: after[k] for k in before}, before)
 
-    def test_defaults_are_each_configurations_own(self) -> None:
+    def test_defaults_are_not_shared_between_configurations(self) -> None:
+        """A mutable default that configurations share would carry changes from one to the next."""
+
         def read() -> Any:
-            said = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
-                    "settings": {"classes": [{"name": "x"}]}}  # fmt: skip
-            return read_config(json.dumps(said).encode()).settings
+            document = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
+                        "settings": {"classes": [{"name": "x"}]}}  # fmt: skip
+            return read_config(json.dumps(document).encode()).settings
 
         first = read()
         first.report_names["odd"] = "in_flight"
@@ -106,17 +112,18 @@
         self.assertNotEqual(read().classes[0].aim, 1.0)
 
 
-class Refusals(unittest.TestCase):
-    def test_who_may_come_back_when_is_the_settings_word_alone(self) -> None:
-        """Whoever turns a job down: the decisions, the front for want of room, the core for want of slots."""
+class Rejections(unittest.TestCase):
+    def test_every_rejection_follows_the_settings_for_retry_after(self) -> None:
+        """Three places reject jobs: the decisions, the HTTP front at its limit of connections, and the core
+        when its table of requests is full. Each must keep to `retry_after` and `max_retry_after`."""
         for advises, most in ((True, 1500.0), (True, 100.0), (False, 1500.0), (False, 0.0)):
             limits = {**SETTINGS["limits"], "retry_after": advises, "max_retry_after": most}
             with (
                 self.subTest(advises=advises, most=most),
                 running_harness(workers=0, settings={"limits": limits}) as harness,
             ):
-                by_module, by_front, by_core = (harness.client() for _ in range(3))
-                by_module.send(job_request("time-lookup", "a", 300))
+                by_decisions, by_front, by_core = (harness.client() for _ in range(3))
+                by_decisions.send(job_request("time-lookup", "a", 300))
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 harness.advance_clock(400)
                 harness.service.http_front.max_connections, room = (
@@ -129,18 +136,19 @@
                 harness.core.requests._limit = len(harness.core.requests._items)
                 harness.core.requests._free.clear()
                 by_core.send(job_request("time-lookup", "c"))
-                for client in (by_module, by_front, by_core):
+                for client in (by_decisions, by_front, by_core):
                     got = harness.run_until(client.read_available, "the answer")
                     self.assertIn(b" 503 ", got)
-                    told_wait = got.partition(b"Retry-After: ")[2].partition(b"\r\n")[0]
-                    self.assertEqual(bool(told_wait), advises)
+                    retry_after = got.partition(b"Retry-After: ")[2].partition(b"\r\n")[0]
+                    self.assertEqual(bool(retry_after), advises)
                     if advises:
-                        self.assertTrue(0 < float(told_wait) <= most / 1000)
+                        self.assertTrue(0 < float(retry_after) <= most / 1000)
 
 
 class Reloads(unittest.TestCase):
-    def test_another_customers_file_at_sighup_changes_the_watch_alone(self) -> None:
-        """What takes a restart is named, and until then all goes on by the old settings."""
+    def test_a_reload_with_other_settings_changes_only_the_discovery_address(self) -> None:
+        """Settings that need a restart are named in the log. Until then the old ones stay in force: a partly
+        applied configuration would serve the wrong classes."""
         worker, other = HttpWorker("h1"), Discovery()
         discovery = Discovery()
         discovery.list("h1", worker.port)
@@ -149,7 +157,9 @@
         try:
             worker.back = program.edge
             program.ready()
-            program.hang_up(discovery=other.address, settings=OTHER, limits={"sockets": 200, "memory_mb": 20})
+            program.hang_up(
+                discovery=other.address, settings=OTHER_SETTINGS, limits={"sockets": 200, "memory_mb": 20}
+            )
             wait_for(lambda: other.told, "the watch to move")
             wait_for(lambda: any("restart" in line for line in program.lines), "what takes a restart")
             line = next(line for line in program.lines if "restart" in line)
@@ -163,29 +173,29 @@
                 server.stop()
 
 
-class ManyAtOnce(unittest.TestCase):
-    def test_those_that_begin_together_are_ready_within_10_s(self) -> None:
-        """Eight processes, with clients at their doors from the first moment, before a discovery that answers
-        nobody for a second; then all of them are killed and begin anew."""
+class SimultaneousStarts(unittest.TestCase):
+    def test_processes_that_start_together_are_ready_within_10_s(self) -> None:
+        """Eight processes start at once, half of them with a known list of workers, and are asked for their
+        health from the first moment; then all are killed and start again. They must not delay each other."""
         worker, discovery = HttpWorker("h1"), Discovery()
         discovery.list("h1", worker.port)
         entries = list(discovery.entries.values())
         known = {"generation": 1, "reset": True, "instances": entries}
 
-        def begin(number: int) -> tuple[float, Program]:
-            at = time.monotonic()
+        def start(number: int) -> tuple[float, Program]:
+            started_at = time.monotonic()
             program = Program(discovery, known=known if number % 2 else None, name=f"d{number}")
             wait_for(lambda: http_call(program.edge, "GET", "/_health")[0] == 200, "it to be ready")
-            return time.monotonic() - at, program
+            return time.monotonic() - started_at, program
 
         programs: list[Program] = []
         try:
             for _ in range(2):
                 with ThreadPoolExecutor(8) as pool:
-                    begun = list(pool.map(begin, range(8)))
-                programs = [program for _, program in begun]
-                took = sorted(t for t, _ in begun)
-                self.assertLess(took[int(0.9 * len(took))], 10.0, took)
+                    started = list(pool.map(start, range(8)))
+                programs = [program for _, program in started]
+                durations = sorted(seconds for seconds, _ in started)
+                self.assertLess(durations[int(0.9 * len(durations))], 10.0, durations)
                 worker.back = programs[0].edge
                 self.assertEqual(http_call(programs[0].edge, "POST", "/time-lookup", Req_Id="a")[0], 200)
                 for program in programs:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,9 +1,9 @@
 """The program as the platform starts it: the deploy file's `run` line through `/bin/sh -c`.
 
-The fleet bench refuses fork, other programs, io_uring, splice and sendfile, and nobody answers on a Unix
-socket there; a thread that never waits is a crash. So `run` must end in one process, of one interpreter, that
-holds TCP sockets over IPv4 and no other kind, and what is off on the platform (the ledger, the store, the
-further fronts) must be absent from it: no module, no thread, no descriptor, no figure.
+The fleet bench refuses fork, other programs, io_uring, splice and sendfile, doesn't serve Unix sockets, and
+takes a thread that never waits for a crash. So `run` must result in one process of one interpreter, with IPv4
+TCP sockets only. Features that are off on the platform (the ledger, the store, the further fronts) must leave
+no module, thread, descriptor or counter in it.
 """
 
 from __future__ import annotations
@@ -18,41 +18,41 @@
 
 from tests.standins import ROOT, SETTINGS, HttpWorker, http_call, running, wait_for
 
-OFF = ("store.", "durable.", "ledger.", "gearman.", "agent_check.", "handover.", "outcomes.")
+DISABLED_FEATURES = ("store.", "durable.", "ledger.", "gearman.", "agent_check.", "handover.", "outcomes.")
 
 
-def _inodes(table: str) -> set[str]:
-    """Socket inodes of one of the kernel's tables under /proc/net."""
+def _socket_inodes(table: str) -> set[str]:
+    """The socket inodes in one of the kernel's tables under /proc/net."""
     with open(f"/proc/net/{table}") as file:
         rows = file.read().splitlines()[1:]
     column = 6 if table == "unix" else 9
     return {row.split()[column] for row in rows if len(row.split()) > column}
 
 
-def sockets_of(pid: int) -> dict[str, int]:
-    """How many of the process's descriptors are sockets of each kind: tcp, tcp6, udp, udp6, unix, other."""
-    kinds = {t: _inodes(t) for t in ("tcp", "tcp6", "udp", "udp6", "unix")}
-    found: dict[str, int] = {}
-    for fd in os.listdir(f"/proc/{pid}/fd"):
+def count_sockets_by_kind(pid: int) -> dict[str, int]:
+    """Count the process's sockets of each kind: tcp, tcp6, udp, udp6, unix, other."""
+    inodes_by_kind = {t: _socket_inodes(t) for t in ("tcp", "tcp6", "udp", "udp6", "unix")}
+    counts: dict[str, int] = {}
+    for descriptor in os.listdir(f"/proc/{pid}/fd"):
         try:
-            target = os.readlink(f"/proc/{pid}/fd/{fd}")
+            target = os.readlink(f"/proc/{pid}/fd/{descriptor}")
         except FileNotFoundError:
-            continue  # closed while we looked
+            continue  # closed meanwhile
         if not target.startswith("socket:["):
             continue
         inode = target[8:-1]
-        kind = next((k for k, inodes in kinds.items() if inode in inodes), "other")
-        found[kind] = found.get(kind, 0) + 1
-    return found
+        kind = next((k for k, inodes in inodes_by_kind.items() if inode in inodes), "other")
+        counts[kind] = counts.get(kind, 0) + 1
+    return counts
 
 
-def children_of(pid: int) -> list[str]:
+def child_pids(pid: int) -> list[str]:
     """The pids of the process's children, over all of its threads."""
-    kids: list[str] = []
+    pids: list[str] = []
     for task in os.listdir(f"/proc/{pid}/task"):
         with open(f"/proc/{pid}/task/{task}/children") as file:
-            kids += file.read().split()
-    return kids
+            pids += file.read().split()
+    return pids
 
 
 def thread_states(pid: int) -> dict[str, str]:
@@ -64,26 +64,28 @@
     return states
 
 
-class AsThePlatformRunsIt(unittest.TestCase):
-    def test_run_ends_in_one_process_with_tcp_sockets_alone(self) -> None:
+class PlatformProcess(unittest.TestCase):
+    def test_a_dispatcher_is_one_process_with_only_tcp_sockets(self) -> None:
+        """A child process, a Unix socket or a busy thread would be refused on the fleet bench, or count as a
+        crash, whether at the start, under load or in a reload."""
         worker = HttpWorker("w1")
         with running([worker], platform=True) as (program, discovery):
             pid = program.process.pid
-            # `exec`: the shell's pid is the interpreter's now, and nothing was started beside it.
+            # Through `exec`, the interpreter has replaced the shell under the same pid.
             self.assertEqual(os.path.realpath(f"/proc/{pid}/exe"), os.path.realpath(sys.executable))
             for i in range(20):
                 status, body, _ = http_call(program.edge, "POST", "/time-lookup", b"x", Req_Id=f"p{i}")
                 self.assertEqual(status, 200, body)
-            program.process.send_signal(signal.SIGHUP)  # reading the file again starts nothing either
+            program.process.send_signal(signal.SIGHUP)  # a reload must start no process either
             http_call(program.edge, "GET", "/_health")
-            self.assertEqual(children_of(pid), [])
-            kinds = sockets_of(pid)
+            self.assertEqual(child_pids(pid), [])
+            kinds = count_sockets_by_kind(pid)
             self.assertEqual(set(kinds) - {"tcp"}, set(), kinds)
-            self.assertGreaterEqual(kinds.get("tcp", 0), 2, kinds)  # the listener and discovery's watch
+            self.assertGreaterEqual(kinds.get("tcp", 0), 2, kinds)  # the listener and the watch on discovery
             counters = program.counters()
-            self.assertEqual([n for n in counters if n.startswith(OFF)], [])
-            self.assertEqual(children_of(pid), [])
-            # Every thread waits while nothing comes: one that never did would be taken for a crash.
+            self.assertEqual([n for n in counters if n.startswith(DISABLED_FEATURES)], [])
+            self.assertEqual(child_pids(pid), [])
+            # Each thread must be seen waiting while there is no work.
             for task in thread_states(pid):
                 wait_for(
                     lambda task=task: thread_states(pid).get(task, "S") in "SD" or time.sleep(0.01),  # type: ignore[misc]
@@ -92,8 +94,9 @@
             self.assertEqual(len(thread_states(pid)), 1, thread_states(pid))
             del discovery
 
-    def test_what_is_off_on_the_platform_is_not_in_the_process(self) -> None:
-        """Built from the repository's own fronts file and served a while: no module of what is off."""
+    def test_modules_of_disabled_features_are_not_imported(self) -> None:
+        """An import that isn't deferred brings a disabled feature's module or its packages into the process.
+        The service runs for 0.3 s with the repository's own file of optional features."""
         code = """
 import sys, json, time, eiderpin.service as s, eiderpin.configuration as c
 service = s.Service(c.load(sys.argv[1]), sys.argv[1])
@@ -109,14 +112,18 @@
 """
         folder = os.environ.get("TMPDIR", "/tmp")
         path = os.path.join(folder, f"platform-{os.getpid()}.json")
-        env = {k: v for k, v in os.environ.items() if k != "EIDERPIN_FRONTS"}
-        said = {"name": "p", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1f",
-                "limits": {"sockets": 1024, "memory_mb": 192}, "settings": SETTINGS}  # fmt: skip
+        environment = {k: v for k, v in os.environ.items() if k != "EIDERPIN_FRONTS"}
+        config = {"name": "p", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1f",
+                  "limits": {"sockets": 1024, "memory_mb": 192}, "settings": SETTINGS}  # fmt: skip
         with open(path, "w") as file:
-            json.dump(said, file)
+            json.dump(config, file)
         try:
             done = subprocess.run(
-                [sys.executable, "-O", "-c", code, path], cwd=ROOT, env=env, capture_output=True, text=True
+                [sys.executable, "-O", "-c", code, path],
+                cwd=ROOT,
+                env=environment,
+                capture_output=True,
+                text=True,
             )
         finally:
             if os.path.exists(path):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Codec round trips, and what the adapter does with bad input."""
+"""The codec of the simulator's wire format, and the adapter that hosts dispatchers on it."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 }  # fmt: skip
 
 
-def line(now: float, *groups: tuple[str, list[dict[str, Any]]]) -> bytes:
+def batch_line(now: float, *groups: tuple[str, list[dict[str, Any]]]) -> bytes:
     return orjson.dumps({"at_time": now, "dispatchers": [{"i": i, "in": e} for i, e in groups]})
 
 
-def start(seed: int = 1) -> list[dict[str, Any]]:
+def start_events(seed: int = 1) -> list[dict[str, Any]]:
     return [
         {"m": "PROVISION", "prng": seed, "conf": CONF},
         {"m": "SNAPSHOT_ROWS", "slot": 0, "lines": [{**ROW, "worker": f"w{i}"} for i in range(6)]},
@@ -43,17 +43,18 @@
     ]
 
 
-def job(rid: int) -> dict[str, Any]:
+def job_event(rid: int) -> dict[str, Any]:
     return {"m": "JOB_IN", "rid": rid, "class": "read", "expires_in": 4000.0, "width": 1}
 
 
 def test_settings_are_read_and_missing_ones_take_defaults() -> None:
-    s, names = wire.decode_settings(CONF)
-    assert [c.aim_stretch for c in s.classes] == [1.5, 2]
-    assert [c.shape for c in s.classes] == [None, "big"]
-    assert s.classes[1].scope is api.Scope.ZONE
-    assert (s.max_attempts, s.instances, s.instance) == (4, 3, 2)
-    assert s.warm_up == api.Settings(classes=[]).warm_up
+    """A key that is misread or dropped makes a dispatcher run by a default without notice."""
+    settings, names = wire.decode_settings(CONF)
+    assert [c.aim_stretch for c in settings.classes] == [1.5, 2]
+    assert [c.shape for c in settings.classes] == [None, "big"]
+    assert settings.classes[1].scope is api.Scope.ZONE
+    assert (settings.max_attempts, settings.instances, settings.instance) == (4, 3, 2)
+    assert settings.warm_up == api.Settings(classes=[]).warm_up
     assert names["x0"] == "free_slots"
     assert "x1" not in names
 
@@ -70,7 +71,8 @@
         ({"classes": [{"name": "a", "repeat": "sometimes"}]}, "classes[0].repeat"),
     ],
 )
-def test_impossible_settings_are_refused_by_name(change: dict[str, Any], key: str) -> None:
+def test_invalid_settings_are_rejected_with_the_name_of_the_key(change: dict[str, Any], key: str) -> None:
+    """An error that doesn't name the key leaves the operator to search the file for it."""
     with pytest.raises(api.SettingsError) as error:
         wire.decode_settings({**CONF, **change})
     assert key in str(error.value)
@@ -102,7 +104,8 @@
         ({"m": "SOMETHING_NEW", "x": 1}, None),
     ],
 )  # fmt: skip
-def test_events(sent: dict[str, Any], expected: api.Event | None) -> None:
+def test_events_are_decoded(sent: dict[str, Any], expected: api.Event | None) -> None:
+    """Fields in the wrong place or with a wrong default; unknown keys and kinds must be ignored."""
     assert wire.decode_event(sent, wire.decode_settings(CONF)[1]) == expected
 
 
@@ -122,49 +125,58 @@
         (api.Log("x"), {"m": "DEBUG", "message": "x"}),
     ],
 )
-def test_actions(action: api.Action, expected: dict[str, Any]) -> None:
+def test_actions_are_encoded(action: api.Action, expected: dict[str, Any]) -> None:
+    """Actions under wrong keys; an optional field that isn't set must be left out."""
     assert wire.encode_action(action) == expected
 
 
-def test_a_list_number_means_what_it_last_meant_at_that_event() -> None:
+def test_a_list_number_refers_to_the_list_at_the_time_of_the_event() -> None:
+    """Numbers of lists are reused within a batch: a list sent later must not replace the earlier one for an
+    event that came before it."""
     host = Host()
     other = {"m": "SNAPSHOT_ROWS", "slot": 0, "lines": [{**ROW, "worker": "later"}]}
-    host.line(line(1.0, ("d1", [*start(), other])))
+    host.line(batch_line(1.0, ("d1", [*start_events(), other])))
     assert sorted(host._instances["d1"][0].workers) == [f"w{i}" for i in range(6)]
 
 
-def test_a_killed_instance_forgets_and_a_new_one_starts_empty() -> None:
+def test_a_detached_dispatcher_is_dropped_and_a_new_one_starts_empty() -> None:
+    """After DETACH, requests of the old dispatcher must not show up in the new one, not even those that came
+    in the same batch."""
     host = Host()
-    host.line(line(1.0, ("d1", [*start(), job(1)])))
-    out = orjson.loads(host.line(line(6.0, ("d1", [job(2), {"m": "DETACH"}, *start(2), job(3)]))))
-    named = {a["rid"] for g in out["dispatchers"] for a in g["outbox"] if "rid" in a}
-    assert not named & {1, 2}
+    host.line(batch_line(1.0, ("d1", [*start_events(), job_event(1)])))
+    out = orjson.loads(
+        host.line(batch_line(6.0, ("d1", [job_event(2), {"m": "DETACH"}, *start_events(2), job_event(3)])))
+    )
+    request_ids = {a["rid"] for g in out["dispatchers"] for a in g["outbox"] if "rid" in a}
+    assert not request_ids & {1, 2}
     assert list(host._instances["d1"][0].jobs) == [3]
 
 
-def test_instances_together_act_as_they_do_apart() -> None:
+def test_dispatchers_of_one_process_act_as_in_a_process_each() -> None:
+    """State shared by the dispatchers of one process would make their decisions depend on each other."""
+
     def play(names: list[str], host: Host) -> dict[str, list[Any]]:
-        got: dict[str, list[Any]] = {n: [] for n in names}
+        actions: dict[str, list[Any]] = {n: [] for n in names}
         for step in range(40):
             groups = []
-            for n in names:
-                seed = 11 + int(n[1:])
-                events = start(seed) if step == 0 else [job(step * 10 + i) for i in range(3)]
-                groups.append((n, events))
-            for g in orjson.loads(host.line(line(1.0 + 7 * step, *groups)))["dispatchers"]:
-                got[g["i"]].append(g["outbox"])
-        return got
+            for name in names:
+                seed = 11 + int(name[1:])
+                events = start_events(seed) if step == 0 else [job_event(step * 10 + i) for i in range(3)]
+                groups.append((name, events))
+            for group in orjson.loads(host.line(batch_line(1.0 + 7 * step, *groups)))["dispatchers"]:
+                actions[group["i"]].append(group["outbox"])
+        return actions
 
     together = play(["d1", "d2", "d3"], Host())
     apart: dict[str, list[Any]] = {}
-    for n in ("d1", "d2", "d3"):
-        apart.update(play([n], Host()))
+    for name in ("d1", "d2", "d3"):
+        apart.update(play([name], Host()))
     assert together == apart
     assert any(a["m"] == "CALL_OUT" for outs in together.values() for out in outs for a in out)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_line",
     [
         b"not json\n",
         b"[]\n",
@@ -174,8 +186,11 @@
         b'{"at_time":1,"dispatchers":[{"i":"d","in":[{"m":"PROVISION","prng":1,"conf":{"classes":[]}}]}]}\n',
     ],
 )
-def test_a_line_that_is_no_batch_ends_the_adapter_with_one_plain_line(bad: bytes) -> None:
-    done = subprocess.run([sys.executable, "-B", "-m", "eiderpin.simhost"], input=bad, capture_output=True)
+def test_an_invalid_batch_ends_the_adapter_with_a_one_line_error(invalid_line: bytes) -> None:
+    """Invalid input from the simulator must end the adapter with an error, not with a traceback or reply."""
+    done = subprocess.run(
+        [sys.executable, "-B", "-m", "eiderpin.simhost"], input=invalid_line, capture_output=True
+    )
     assert done.returncode != 0
     assert done.stdout == b""
     assert done.stderr.count(b"\n") == 1
@@ -183,6 +198,7 @@
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
+    """Each batch gets one reply line, also where there is nothing to reply."""
     sink = io.BytesIO()
     serve(io.BytesIO(b'{"at_time":8412.25,"dispatchers":[]}\n'), sink)
     assert sink.getvalue() == b'{"dispatchers":[]}\n'
