--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -541,8 +541,8 @@
                 with contextlib.suppress(OSError):  # a lost reader must not end the service
                     print(line, file=sys.stderr, flush=True)
 
-    def run_turn(self) -> None:
-        """Run one turn of the event loop."""
+    def turn(self) -> None:
+        """Run one turn of the event loop. An embedding program may call this instead of `run`."""
         begun = self.shutdown.begun
         if not self.serving and not begun and self.may_start_serving():
             self.start_serving()
@@ -567,7 +567,7 @@
         self._install_signal_handlers()
         logs.event("listens", logging.INFO, **self.addresses())
         while not self.is_over():
-            self.run_turn()
+            self.turn()
         if self.ledger is not None:
             self.ledger.close()
         if self.control_plane is not None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -102,7 +102,7 @@
 service = s.Service(c.load(sys.argv[1]), sys.argv[1])
 until = time.monotonic() + 0.3
 while time.monotonic() < until:
-    service.run_turn()
+    service.turn()
 import threading
 off = ("eiderpin.jobs", "eiderpin.durable", "eiderpin.store", "eiderpin.fleet", "eiderpin.parts",
        "eiderpin.net.gearman", "eiderpin.net.agent_check", "eiderpin.net.handover",
