--- a/eiderpin/cli/__init__.py
+++ b/eiderpin/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The `eiderpin` command. Each group of commands is in a module of its own and is imported when it is
-used."""
+"""The `eiderpin` command. Each group of subcommands is a module of its own, which is imported only when it
+is used."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from eiderpin.logs import FORMATS, LEVELS
 
-# name: module and attribute
+# Where each subcommand is defined, as MODULE:ATTRIBUTE.
 COMMANDS = {
     "check": "eiderpin.cli.check:check",
     "config": "eiderpin.cli.config:config",
@@ -24,13 +24,15 @@
 }
 
 
-class Lazy(click.Group):
-    """Imports a command when it is asked for."""
+class LazyGroup(click.Group):
+    """A command group that imports a subcommand's module when the subcommand is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names of all subcommands, without importing them."""
         return sorted(COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
+        """Import and return the subcommand, or None if there is none of this name."""
         if name not in COMMANDS:
             return None
         module, _, attribute = COMMANDS[name].partition(":")
@@ -39,19 +41,20 @@
         return command
 
 
-def version() -> str:
+def read_version() -> str:
+    """Return the version of the installed package, or that of the source tree if it is not installed."""
     try:
         return metadata.version("eiderpin")
-    except metadata.PackageNotFoundError:  # from a checkout
+    except metadata.PackageNotFoundError:
         from eiderpin import VERSION
 
         return VERSION
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
-@click.version_option(version(), prog_name="eiderpin")
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
+@click.version_option(read_version(), prog_name="eiderpin")
 def main() -> None:
-    """A dispatcher that hands jobs to workers. To see it at work: eiderpin try"""
+    """A dispatcher that hands jobs to workers. For a demonstration, run: eiderpin try"""
 
 
 @click.command()
@@ -62,12 +65,12 @@
     "--parts",
     envvar="EIDERPIN_FRONTS",
     type=click.Path(),
-    help="Further fronts and parts, JSON. [EIDERPIN_FRONTS]",
+    help="Optional features and their listeners, JSON. [EIDERPIN_FRONTS]",
 )
 @click.option("--log-format", type=click.Choice(FORMATS), help="[EIDERPIN_LOG_FORMAT]")
 @click.option("--log-level", type=click.Choice(LEVELS), help="[EIDERPIN_LOG_LEVEL]")
 def run(config: str | None, parts: str | None, log_format: str | None, log_level: str | None) -> None:
-    """Serve, until SIGTERM."""
+    """Run the dispatcher until it receives SIGTERM."""
     from eiderpin import service
 
     sys.exit(service.main(config, parts, log_format or "", log_level or ""))
