--- a/eiderpin/cli/config.py
+++ b/eiderpin/cli/config.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from eiderpin.store.fleet_view import ConfigView
 
-from eiderpin.cli.store import door, fleet_view, store_client
+from eiderpin.cli.store import door_option, load_fleet_view, store_client
 from eiderpin.configuration import ConfigError, read_shared
 from eiderpin.store.client import Failed, StoreClient
 from eiderpin.store.names import CURRENT, IN_FORCE, OBSERVERS, PRESENT, VERSIONS
@@ -80,7 +80,7 @@
 
 
 @config.command("set")
-@door
+@door_option
 @click.argument("file", type=click.Path(exists=True))
 def set_(doors: str, file: str) -> None:
     """Make FILE, once checked, the configuration of all dispatchers."""
@@ -94,7 +94,7 @@
 
 
 @config.command()
-@door
+@door_option
 @click.option("--version", "number", type=int, help="An earlier one.")
 def show(doors: str, number: int | None) -> None:
     """The configuration, and what became of it at each dispatcher."""
@@ -103,7 +103,7 @@
             sys.stdout.buffer.write(read_config_version(s, number))
             return
         now, text, _ = read_current_config(s)
-        shown = fleet_view()
+        shown = load_fleet_view()
         members = shown.documents(s, PRESENT)
         observers = shown.live_observers(shown.documents(s, OBSERVERS), OBSERVERS)
         view = shown.config_view(now, members, observers, shown.documents(s, IN_FORCE))
@@ -125,11 +125,11 @@
         line += f", last at {view.slowest}" if view.slowest else ""
     click.echo(line, err=True)
     for lagging in view.lagging:
-        click.echo(f"  {fleet_view().lagging_line(lagging)}", err=True)
+        click.echo(f"  {load_fleet_view().lagging_line(lagging)}", err=True)
 
 
 @config.command()
-@door
+@door_option
 @click.argument("one", type=int)
 @click.argument("other", type=int, required=False)
 def diff(doors: str, one: int, other: int | None) -> None:
@@ -150,7 +150,7 @@
 
 
 @config.command()
-@door
+@door_option
 @click.argument("number", type=int, required=False)
 def rollback(doors: str, number: int | None) -> None:
     """Go back to version NUMBER, or to the one before; as a new version."""
--- a/eiderpin/cli/workers.py
+++ b/eiderpin/cli/workers.py
@@ -8,7 +8,7 @@
 
 import click
 
-from eiderpin.cli.store import door, fleet_view, store_client
+from eiderpin.cli.store import door_option, load_fleet_view, store_client
 from eiderpin.store import orders
 from eiderpin.store.client import Failed, StoreClient
 from eiderpin.store.names import OBSERVERS, PRESENT
@@ -53,7 +53,7 @@
 
 
 @workers.command()
-@door
+@door_option
 @click.argument("name")
 @click.option("--why", default="", help="For those who look later.")
 def cordon(doors: str, name: str, why: str) -> None:
@@ -64,7 +64,7 @@
 
 
 @workers.command()
-@door
+@door_option
 @click.argument("name")
 def release(doors: str, name: str) -> None:
     """Let a worker back in."""
@@ -74,7 +74,7 @@
 
 
 @workers.command()
-@door
+@door_option
 @click.argument("name")
 @click.argument("slots", type=float)
 def cap(doors: str, name: str, slots: float) -> None:
@@ -85,7 +85,7 @@
 
 
 @workers.command("orders")
-@door
+@door_option
 def orders_(doors: str) -> None:
     """The orders that stand."""
     with store_client(doors) as s:
@@ -102,11 +102,11 @@
 
 
 @click.command()
-@door
+@door_option
 def dispatchers(doors: str) -> None:
     """The dispatchers that are there."""
     with store_client(doors) as s:
-        shown = fleet_view()
+        shown = load_fleet_view()
         members = shown.documents(s, PRESENT)
         observers = shown.live_observers(shown.documents(s, OBSERVERS), OBSERVERS)
     for document in members:
