--- a/eiderpin/cli/config.py
+++ b/eiderpin/cli/config.py
@@ -1,4 +1,4 @@
-"""`eiderpin config`: the configuration that the dispatchers of a store share, by versions."""
+"""`eiderpin config`: commands for the versioned configuration that the dispatchers of a store share."""
 
 from __future__ import annotations
 
@@ -19,50 +19,54 @@
 from eiderpin.store.client import Failed, StoreClient
 from eiderpin.store.names import CURRENT, IN_FORCE, OBSERVERS, PRESENT, VERSIONS
 
-STAND_IN = {"name": "x", "listen": "127.0.0.1:0", "workers": []}  # for what is each dispatcher's own
+# Stands for the settings that each dispatcher's own file has, so that a shared text can be checked alone.
+PLACEHOLDER_OWN_SETTINGS = {"name": "x", "listen": "127.0.0.1:0", "workers": []}
 
 
 @click.group()
 def config() -> None:
-    """The configuration that dispatchers share: settings and workers. What is each one's own (name, listen,
-    management, limits, seed) stays in its own file."""
+    """The configuration that dispatchers share: settings and workers. What differs between dispatchers (name,
+    listen, management, limits, seed) stays in each one's own file."""
 
 
 def find_config_error(text: bytes) -> str:
-    """What is wrong with it; empty: nothing."""
+    """Return what is wrong with the text of a shared configuration, or an empty string if it is valid."""
     try:
-        read_shared(STAND_IN, text)
+        read_shared(PLACEHOLDER_OWN_SETTINGS, text)
     except ConfigError as error:
         return str(error)
     return ""
 
 
 def read_current_config(store: StoreClient) -> tuple[int, bytes, int]:
-    """Version, text and the document's revision; zeros where there is none. Raises `Failed`."""
+    """Return the version, the text and the document's revision; 0, b"" and 0 if no configuration is shared.
+    Raises `Failed`."""
     try:
-        value, said = store.get(CURRENT)
+        value, document = store.get(CURRENT)
     except Failed as error:
         if error.kind != "absent":
             raise
         return 0, b"", 0
     version, _, text = value.partition(b"\n")
-    return int(version), text, said["revision"]
+    return int(version), text, document["revision"]
 
 
 def read_config_version(store: StoreClient, number: int) -> bytes:
+    """Return the text of one version. Raises `Failed`, of kind `absent` if there is none of this number."""
     return store.get(f"{VERSIONS}{number:08d}")[0]
 
 
 def publish_config(store: StoreClient, text: bytes) -> int:
-    """Make `text` the next version, if nobody else makes one meanwhile."""
-    before, _, revision = read_current_config(store)
-    number = before + 1
+    """Store `text` as the next version and return its number. Raises `Failed`, of kind `differs` if another
+    version was published in the meantime."""
+    current_number, _, revision = read_current_config(store)
+    number = current_number + 1
 
-    def row(name: str, value: bytes) -> dict[str, str]:
+    def document(name: str, value: bytes) -> dict[str, str]:
         return {"name": name, "value": base64.b64encode(value).decode()}
 
     store.change(
-        "txn", puts=[row(CURRENT, b"%d\n" % number + text), row(f"{VERSIONS}{number:08d}", text)],
+        "txn", puts=[document(CURRENT, b"%d\n" % number + text), document(f"{VERSIONS}{number:08d}", text)],
         compares=[{"name": CURRENT, "revision": revision}],
     )  # fmt: skip
     return number
@@ -71,10 +75,10 @@
 @config.command()
 @click.argument("file", type=click.Path(exists=True))
 def check(file: str) -> None:
-    """Say whether dispatchers could take FILE."""
-    wrong = find_config_error(Path(file).read_bytes())
-    if wrong:
-        click.echo(f"eiderpin: {file}: {wrong}", err=True)
+    """Check whether FILE is valid as the shared configuration. Exit code 2 if it is not."""
+    error = find_config_error(Path(file).read_bytes())
+    if error:
+        click.echo(f"eiderpin: {file}: {error}", err=True)
         sys.exit(2)
     click.echo(f"{file}: good")
 
@@ -82,43 +86,45 @@
 @config.command("set")
 @door_option
 @click.argument("file", type=click.Path(exists=True))
-def set_(doors: str, file: str) -> None:
-    """Make FILE, once checked, the configuration of all dispatchers."""
+def set_config(doors: str, file: str) -> None:
+    """Publish FILE as the next version for all dispatchers. Exit code 2 if it is not valid."""
     text = Path(file).read_bytes()
-    wrong = find_config_error(text)
-    if wrong:
-        click.echo(f"eiderpin: {file}: {wrong}", err=True)
+    error = find_config_error(text)
+    if error:
+        click.echo(f"eiderpin: {file}: {error}", err=True)
         sys.exit(2)
-    with store_client(doors) as s:
-        click.echo(f"version {publish_config(s, text)}")
+    with store_client(doors) as client:
+        click.echo(f"version {publish_config(client, text)}")
 
 
 @config.command()
 @door_option
-@click.option("--version", "number", type=int, help="An earlier one.")
+@click.option("--version", "number", type=int, help="Print this version instead.")
 def show(doors: str, number: int | None) -> None:
-    """The configuration, and what became of it at each dispatcher."""
-    with store_client(doors) as s:
+    """Print the configuration and, on standard error, which version each dispatcher has in force."""
+    with store_client(doors) as client:
         if number is not None:
-            sys.stdout.buffer.write(read_config_version(s, number))
+            sys.stdout.buffer.write(read_config_version(client, number))
             return
-        now, text, _ = read_current_config(s)
-        shown = load_fleet_view()
-        members = shown.documents(s, PRESENT)
-        observers = shown.live_observers(shown.documents(s, OBSERVERS), OBSERVERS)
-        view = shown.config_view(now, members, observers, shown.documents(s, IN_FORCE))
+        current_number, text, _ = read_current_config(client)
+        fleet_view = load_fleet_view()
+        members = fleet_view.documents(client, PRESENT)
+        observers = fleet_view.live_observers(fleet_view.documents(client, OBSERVERS), OBSERVERS)
+        view = fleet_view.config_view(
+            current_number, members, observers, fleet_view.documents(client, IN_FORCE)
+        )
     sys.stdout.buffer.write(text)
     sys.stdout.flush()
-    click.echo(f"version {now}" if now else "no configuration is shared", err=True)
+    click.echo(f"version {current_number}" if current_number else "no configuration is shared", err=True)
     for document in members:
         config = json.loads(document.value)["config"]
         click.echo(f"{document.name.removeprefix(PRESENT)}: {config or 'none taken'}", err=True)
     if observers:
-        _show_in_force(view)
+        _print_rollout(view)
 
 
-def _show_in_force(view: ConfigView) -> None:
-    """Say at how many dispatchers the version is in force, and who lacks it."""
+def _print_rollout(view: ConfigView) -> None:
+    """Print at how many dispatchers the version is in force, and those that lack it."""
     line = f"in force at {view.in_force} of {view.dispatchers} dispatchers"
     if view.everywhere_ms is not None:
         line += f", everywhere after {view.everywhere_ms / 1000:.1f} s"
@@ -133,16 +139,16 @@
 @click.argument("one", type=int)
 @click.argument("other", type=int, required=False)
 def diff(doors: str, one: int, other: int | None) -> None:
-    """What has changed from one version to another, or to the one that holds; exit code 1 where they
+    """Show the changes from version ONE to version OTHER, or to the current one. Exit code 1 if they
     differ."""
-    with store_client(doors) as s:
-        before = read_config_version(s, one)
-        now, text, _ = read_current_config(s)
-        after = read_config_version(s, other) if other is not None else text
+    with store_client(doors) as client:
+        before = read_config_version(client, one)
+        current_number, text, _ = read_current_config(client)
+        after = read_config_version(client, other) if other is not None else text
     lines = list(
         difflib.unified_diff(
             before.decode().splitlines(), after.decode().splitlines(), f"version {one}",
-            f"version {other if other is not None else now}", lineterm="",
+            f"version {other if other is not None else current_number}", lineterm="",
         )
     )  # fmt: skip
     click.echo("\n".join(lines))
@@ -153,12 +159,13 @@
 @door_option
 @click.argument("number", type=int, required=False)
 def rollback(doors: str, number: int | None) -> None:
-    """Go back to version NUMBER, or to the one before; as a new version."""
-    with store_client(doors) as s:
-        before, _, _ = read_current_config(s)
-        back = number if number is not None else before - 1
-        if back < 1:
+    """Publish the text of version NUMBER, or of the one before the current, as a new version."""
+    with store_client(doors) as client:
+        current_number, _, _ = read_current_config(client)
+        restored = number if number is not None else current_number - 1
+        if restored < 1:
             raise Failed("refused", "there is no earlier version")
         click.echo(
-            f"version {publish_config(s, read_config_version(s, back))}, which is version {back} again"
+            f"version {publish_config(client, read_config_version(client, restored))}, "
+            f"which is version {restored} again"
         )
