--- a/eiderpin/cli/jobs.py
+++ b/eiderpin/cli/jobs.py
@@ -1,4 +1,5 @@
-"""`eiderpin jobs`: reads a ledger of durable jobs, of a live or a dead dispatcher. It never writes."""
+"""`eiderpin jobs`: commands that read a ledger of durable jobs, whether or not its dispatcher is running.
+They never write to it."""
 
 from __future__ import annotations
 
@@ -15,130 +16,153 @@
 from eiderpin.jobs import records
 from eiderpin.jobs.ledger import BrokenRule, Job, Ledger
 
-TRIES = 5  # a live owner may replace its files by a checkpoint while we read
+# A running dispatcher may replace its files by a checkpoint while they are read; reading then starts again.
+MAX_READ_ATTEMPTS = 5
 
 
 class LedgerReport:
-    """What a directory says, and what cannot be vouched for."""
+    """What could be read of a ledger's directory.
 
-    def __init__(self, folder: str) -> None:
+    Attributes:
+        ledger: The jobs, as of the last record that could be read.
+        scan_result: What was found in the files; empty values if not all of them could be read.
+        read_error: Why not all of it could be read; empty if all of it was.
+        record_counts: How many records were read, by kind.
+    """
+
+    def __init__(self, directory: str) -> None:
+        """Read all records of the directory, as far as possible; raises nothing for what cannot be read."""
         self.ledger = Ledger()
-        self.found = reading.Found()
+        self.scan_result = reading.Found()
         self.read_error = ""
-        self.counts: Counter[str] = Counter()
-        for left in reversed(range(TRIES)):
-            self.ledger, self.counts = Ledger(), Counter()
+        self.record_counts: Counter[str] = Counter()
+        for attempts_left in reversed(range(MAX_READ_ATTEMPTS)):
+            self.ledger, self.record_counts = Ledger(), Counter()
             try:
-                self.found = reading.read(Files(folder), self.take)
+                self.scan_result = reading.read(Files(directory), self.apply)
             except FileNotFoundError as error:
-                if left:
+                if attempts_left:
                     time.sleep(0.05)
                     continue
-                self.read_error = f"{error.filename or error}: it is not there"
+                self.read_error = f"{error.filename or error}: no such file or directory"
             except (reading.Damaged, BadFormat, BrokenRule, OSError) as error:
                 self.read_error = str(error)
             return
 
-    def take(self, record: Record) -> None:
-        said = records.unpack(record)
-        self.counts[type(said).__name__] += 1
-        self.ledger.apply(said)
+    def apply(self, record: Record) -> None:
+        """Count a record and apply it to the ledger. Raises `BadFormat` and `BrokenRule`."""
+        unpacked = records.unpack(record)
+        self.record_counts[type(unpacked).__name__] += 1
+        self.ledger.apply(unpacked)
 
 
-def account(folder: str) -> LedgerReport:
-    """Ends the command where nothing at all can be read."""
-    said = LedgerReport(folder)
-    if said.read_error and not said.counts:
-        click.echo(f"eiderpin: {folder}: {said.read_error}", err=True)
+def read_ledger(directory: str) -> LedgerReport:
+    """Read a ledger. If an error keeps even the first record from being read, print it and end the command
+    with exit code 2."""
+    report = LedgerReport(directory)
+    if report.read_error and not report.record_counts:
+        click.echo(f"eiderpin: {directory}: {report.read_error}", err=True)
         sys.exit(2)
-    return said
+    return report
 
 
-def warn(said: LedgerReport) -> None:
-    if said.read_error:
-        click.echo(f"eiderpin: not vouched for: {said.read_error}", err=True)
+def exit_if_incomplete(report: LedgerReport) -> None:
+    """If not all of a ledger could be read, print the reason and end the command with exit code 1."""
+    if report.read_error:
+        click.echo(f"eiderpin: the ledger was read only in part: {report.read_error}", err=True)
         sys.exit(1)
 
 
-def when(at: float) -> str:
-    return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(at / 1000)) + f".{int(at) % 1000:03d}Z"
+def format_time(unix_ms: float) -> str:
+    """Return a time in ISO 8601, in UTC with milliseconds."""
+    return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(unix_ms / 1000)) + f".{int(unix_ms) % 1000:03d}Z"
 
 
-def row(job: Job) -> dict[str, object]:
-    a = job.accepted
+def describe_job(job: Job) -> dict[str, object]:
+    """Return what is shown of a job in JSON."""
+    accepted = job.accepted
     return {
-        "job": a.job, "class": a.cls, "name": a.unique, "id": a.wire_id, "state": job.state(),
-        "accepted": when(a.at), "deadline": when(a.deadline),
-        "workers": [x.leased.worker for x in job.leases], "may_have_run": job.may_have_run,
+        "job": accepted.job, "class": accepted.cls, "name": accepted.unique, "id": accepted.wire_id,
+        "state": job.state(), "accepted": format_time(accepted.at),
+        "deadline": format_time(accepted.deadline),
+        "workers": [lease.leased.worker for lease in job.leases], "may_have_run": job.may_have_run,
     }  # fmt: skip
 
 
 @click.group()
 def jobs() -> None:
-    """Durable jobs, as their ledger tells of them."""
+    """Durable jobs, read from their dispatcher's ledger."""
 
 
 @jobs.command("list")
 @click.argument("directory", type=click.Path())
-@click.option("--state", help="Only these: waiting, leased, succeeded, aborted.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
+@click.option("--state", help="Only jobs in this state: waiting, leased, succeeded, aborted.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def list_jobs(directory: str, state: str | None, as_json: bool) -> None:
-    """One line a job, oldest first."""
-    said = account(directory)
-    for job in said.ledger.jobs.values():
+    """List the jobs, one per line, oldest first."""
+    report = read_ledger(directory)
+    for job in report.ledger.jobs.values():
         if state is not None and job.state() != state:
             continue
         if as_json:
-            click.echo(json.dumps(row(job)))
+            click.echo(json.dumps(describe_job(job)))
         else:
-            a = job.accepted
-            at = ",".join(x.leased.worker for x in job.leases) or "-"
-            names = f"{a.cls} {a.unique or '-'} {a.wire_id}"
-            click.echo(f"{a.job:>8} {job.state():<9} {names} at {at} {when(a.at)}")
-    warn(said)
+            accepted = job.accepted
+            workers = ",".join(lease.leased.worker for lease in job.leases) or "-"
+            names = f"{accepted.cls} {accepted.unique or '-'} {accepted.wire_id}"
+            click.echo(f"{accepted.job:>8} {job.state():<9} {names} at {workers} {format_time(accepted.at)}")
+    exit_if_incomplete(report)
 
 
 @jobs.command()
 @click.argument("directory", type=click.Path())
 @click.argument("job")
 def show(directory: str, job: str) -> None:
-    """All that is known of one job: JOB is its number, its name or its id at workers."""
-    said = account(directory)
-    found = [
-        j for j in said.ledger.jobs.values()
-        if job in (str(j.accepted.job), j.accepted.unique, j.accepted.wire_id)
+    """Show all that is recorded of a job. JOB is its number, its name or the id that workers know it by."""
+    report = read_ledger(directory)
+    matching_jobs = [
+        candidate for candidate in report.ledger.jobs.values()
+        if job in (str(candidate.accepted.job), candidate.accepted.unique, candidate.accepted.wire_id)
     ]  # fmt: skip
-    if not found:
-        text = "never taken on, turned down, or kept no longer"
-        click.echo(f"eiderpin: no job {job!r} in {directory}: {text}", err=True)
+    if not matching_jobs:
+        reason = "it was never accepted, was rejected or is no longer kept"
+        click.echo(f"eiderpin: no job {job!r} in {directory}: {reason}", err=True)
         sys.exit(1)
-    for one in found:
-        click.echo(json.dumps(row(one), indent=2))
-        for lease in one.leases:
-            x, over = lease.leased, lease.released
-            to = f"{x.worker} {x.address} in term {x.term}"
-            click.echo(f"  {when(x.at)} attempt {x.attempt} leased to {to}")
-            if over is not None:
-                ran = "it may have run" if over.ran else "it did not run"
-                click.echo(f"  {when(over.at)} attempt {x.attempt} released: {over.why}, {ran}")
-        if one.ended is not None:
-            told = "told" if one.ended.told else "nobody has been told"
-            click.echo(f"  {when(one.ended.at)} {one.ended.verdict}, {len(one.ended.result)} bytes, {told}")
-    warn(said)
+    for matching_job in matching_jobs:
+        click.echo(json.dumps(describe_job(matching_job), indent=2))
+        for lease in matching_job.leases:
+            leased, released = lease.leased, lease.released
+            worker = f"{leased.worker} {leased.address} in term {leased.term}"
+            click.echo(f"  {format_time(leased.at)} attempt {leased.attempt} leased to {worker}")
+            if released is not None:
+                ran = "it may have run" if released.ran else "it did not run"
+                click.echo(
+                    f"  {format_time(released.at)} attempt {leased.attempt} released: {released.why}, {ran}"
+                )
+        if matching_job.ended is not None:
+            told = "told" if matching_job.ended.told else "nobody has been told"
+            click.echo(
+                f"  {format_time(matching_job.ended.at)} {matching_job.ended.verdict}, "
+                f"{len(matching_job.ended.result)} bytes, {told}"
+            )
+    exit_if_incomplete(report)
 
 
 @jobs.command()
 @click.argument("directory", type=click.Path())
 def check(directory: str) -> None:
-    """Read the whole ledger and say whether it can be vouched for. Exit code 1 where it cannot."""
-    said = account(directory)
-    states = Counter(job.state() for job in said.ledger.jobs.values())
-    found = said.found
-    click.echo(f"{directory}: {sum(said.counts.values())} records: "
-               + ", ".join(f"{n} {name}" for name, n in sorted(said.counts.items())))  # fmt: skip
-    click.echo(f"  jobs: {', '.join(f'{n} {s}' for s, n in sorted(states.items())) or 'none'}")
-    click.echo(f"  owner: {said.ledger.owner or '-'}, term {said.ledger.term}")
-    if found.torn:
-        click.echo(f"  {found.torn} bytes at the end were never acknowledged: nobody was told of them")
-    warn(said)
+    """Read the whole ledger and check that it is intact. Exit code 1 if part of it is not, 2 if nothing can
+    be read."""
+    report = read_ledger(directory)
+    states = Counter(job.state() for job in report.ledger.jobs.values())
+    scan_result = report.scan_result
+    click.echo(f"{directory}: {sum(report.record_counts.values())} records: "
+               + ", ".join(f"{n} {kind}" for kind, n in sorted(report.record_counts.items())))  # fmt: skip
+    click.echo(
+        f"  jobs: {', '.join(f'{count} {state}' for state, count in sorted(states.items())) or 'none'}"
+    )
+    click.echo(f"  owner: {report.ledger.owner or '-'}, term {report.ledger.term}")
+    if scan_result.torn:
+        click.echo(f"  {scan_result.torn} bytes at the end were never acknowledged: nobody was told of them")
+    exit_if_incomplete(report)
     click.echo("  good")
