--- a/eiderpin/cli/workers.py
+++ b/eiderpin/cli/workers.py
@@ -1,4 +1,5 @@
-"""`eiderpin workers`, `eiderpin dispatchers`: orders that all dispatchers of a store follow; who they are."""
+"""`eiderpin workers`: commands for overrides that all dispatchers of a store apply to a worker.
+`eiderpin dispatchers`: the list of those dispatchers."""
 
 from __future__ import annotations
 
@@ -14,52 +15,54 @@
 from eiderpin.store.names import OBSERVERS, PRESENT
 from eiderpin.store.orders import Order
 
-TRIES = 20
+# An update is repeated this often if others change the same override in the meantime.
+MAX_UPDATE_ATTEMPTS = 20
 
 
 @click.group()
 def workers() -> None:
-    """Orders for workers, followed by every dispatcher of the store; exit codes as of `eiderpin store`."""
+    """Overrides for workers, applied by all dispatchers of the store. Exit codes as for `eiderpin store`."""
 
 
-def change(store: StoreClient, name: str, **changes: object) -> Order:
-    """Change a part of a worker's order, whoever else changes another part meanwhile. Raises `Failed`."""
-    for _ in range(TRIES):
-        order, revision = Order(), 0
+def update_override(store: StoreClient, name: str, **changes: object) -> Order:
+    """Change fields of a worker's override and return the result. Fields that others change in the meantime
+    are kept. Raises `Failed`."""
+    for _ in range(MAX_UPDATE_ATTEMPTS):
+        override, revision = Order(), 0
         try:
-            value, said = store.get(orders.PREFIX + name)
-            order, revision = orders.read(value), said["revision"]
+            value, document = store.get(orders.PREFIX + name)
+            override, revision = orders.read(value), document["revision"]
         except Failed as error:
             if error.kind != "absent":
                 raise
         except ValueError as error:
-            raise Failed("refused", f"the order that stands makes no sense: {error}") from None
-        order = replace(order, **changes)  # type: ignore[arg-type]
+            raise Failed("refused", f"the stored override is not valid: {error}") from None
+        override = replace(override, **changes)  # type: ignore[arg-type]
         try:
-            orders.read(order.pack())
+            orders.read(override.pack())
         except ValueError as error:
             raise Failed("bad", str(error)) from None
         try:
-            if order.cordon or order.slots is not None:
-                store.put(orders.PREFIX + name, order.pack(), revision)
+            if override.cordon or override.slots is not None:
+                store.put(orders.PREFIX + name, override.pack(), revision)
             elif revision:
                 store.change("txn", deletes=[orders.PREFIX + name],
                              compares=[{"name": orders.PREFIX + name, "revision": revision}])  # fmt: skip
-            return order
+            return override
         except Failed as error:
             if error.kind != "differs":
                 raise
-    raise Failed("refused", f"the order for {name} changes all the time")
+    raise Failed("refused", f"the override for {name} is changed by others too often; try again")
 
 
 @workers.command()
 @door_option
 @click.argument("name")
-@click.option("--why", default="", help="For those who look later.")
+@click.option("--why", default="", help="The reason, shown in the list of overrides.")
 def cordon(doors: str, name: str, why: str) -> None:
-    """Send nothing new to a worker; what it runs may end."""
-    with store_client(doors) as s:
-        change(s, name, cordon=True, why=why)
+    """Send no new jobs to a worker; those that it runs may finish."""
+    with store_client(doors) as client:
+        update_override(client, name, cordon=True, why=why)
     click.echo(f"{name}: nothing new goes there")
 
 
@@ -67,10 +70,10 @@
 @door_option
 @click.argument("name")
 def release(doors: str, name: str) -> None:
-    """Let a worker back in."""
-    with store_client(doors) as s:
-        left = change(s, name, cordon=False)
-    click.echo(f"{name}: back" + (f", with {left.slots:g} slots at most" if left.slots else ""))
+    """Send new jobs to a worker again."""
+    with store_client(doors) as client:
+        override = update_override(client, name, cordon=False)
+    click.echo(f"{name}: back" + (f", with {override.slots:g} slots at most" if override.slots else ""))
 
 
 @workers.command()
@@ -78,47 +81,51 @@
 @click.argument("name")
 @click.argument("slots", type=float)
 def cap(doors: str, name: str, slots: float) -> None:
-    """Use no more than SLOTS of a worker; 0 takes the cap back."""
-    with store_client(doors) as s:
-        change(s, name, slots=slots or None)
+    """Use at most SLOTS of a worker's slots; 0 removes the cap."""
+    with store_client(doors) as client:
+        update_override(client, name, slots=slots or None)
     click.echo(f"{name}: {slots:g} slots at most" if slots else f"{name}: no cap")
 
 
 @workers.command("orders")
 @door_option
-def orders_(doors: str) -> None:
-    """The orders that stand."""
-    with store_client(doors) as s:
-        rows = s.ask("range", prefix=orders.PREFIX, most=1000)["documents"]
+def list_overrides(doors: str) -> None:
+    """List the overrides in force."""
+    with store_client(doors) as client:
+        rows = client.ask("range", prefix=orders.PREFIX, most=1000)["documents"]
     for row in rows:
         name = row["name"].removeprefix(orders.PREFIX)
         try:
-            order = orders.read(base64.b64decode(row["value"]))
+            override = orders.read(base64.b64decode(row["value"]))
         except ValueError as error:
             click.echo(f"{name}  not followed: {error}")
             continue
-        said = (["cordoned"] if order.cordon else []) + ([f"{order.slots:g} slots"] if order.slots else [])
-        click.echo(f"{name}  {', '.join(said)}" + (f"  ({order.why})" if order.why else ""))
+        effects = (["cordoned"] if override.cordon else []) + (
+            [f"{override.slots:g} slots"] if override.slots else []
+        )
+        click.echo(f"{name}  {', '.join(effects)}" + (f"  ({override.why})" if override.why else ""))
 
 
 @click.command()
 @door_option
 def dispatchers(doors: str) -> None:
-    """The dispatchers that are there."""
-    with store_client(doors) as s:
-        shown = load_fleet_view()
-        members = shown.documents(s, PRESENT)
-        observers = shown.live_observers(shown.documents(s, OBSERVERS), OBSERVERS)
+    """List the live dispatchers."""
+    with store_client(doors) as client:
+        fleet_view = load_fleet_view()
+        members = fleet_view.documents(client, PRESENT)
+        observers = fleet_view.live_observers(fleet_view.documents(client, OBSERVERS), OBSERVERS)
     for document in members:
-        click.echo(_dispatcher(document.name.removeprefix(PRESENT), document.value, "member"))
+        click.echo(_format_dispatcher(document.name.removeprefix(PRESENT), document.value, "member"))
     for name, live in observers.items():
-        click.echo(_dispatcher(name, live.entry.about or b"{}", f"observer of {live.member}"))
-
-
-def _dispatcher(name: str, about: bytes, part: str) -> str:
-    """One line of a dispatcher, by what it says of itself."""
-    said = json.loads(about)
-    life, stage, took = said.get("incarnation") or "-", said.get("stage", "-"), said.get("took", {})
-    steps = " ".join(f"{step} {ms / 1000:.1f} s" for step, ms in took.items())
-    state, edge, version = (said.get(key, "-") for key in ("state", "edge", "version"))
-    return f"{name:16} {state:6} {edge:22} {version:8} {life:10} {stage}  {steps}  {part}"
+        click.echo(_format_dispatcher(name, live.entry.about or b"{}", f"observer of {live.member}"))
+
+
+def _format_dispatcher(name: str, about: bytes, role: str) -> str:
+    """Return one line on a dispatcher. `about` is the JSON object in which it describes itself."""
+    fields = json.loads(about)
+    incarnation, stage, durations_ms = (
+        fields.get("incarnation") or "-", fields.get("stage", "-"), fields.get("took", {})
+    )  # fmt: skip
+    steps = " ".join(f"{step} {ms / 1000:.1f} s" for step, ms in durations_ms.items())
+    state, http_address, version = (fields.get(key, "-") for key in ("state", "edge", "version"))
+    return f"{name:16} {state:6} {http_address:22} {version:8} {incarnation:10} {stage}  {steps}  {role}"
