--- a/eiderpin/cli/try_it.py
+++ b/eiderpin/cli/try_it.py
@@ -1,4 +1,5 @@
-"""`eiderpin try`: a dispatcher, three stand-in workers and some jobs on loopback, told line by line."""
+"""`eiderpin try`: a demonstration that runs a dispatcher, three simulated workers and some jobs on loopback,
+and prints each step."""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
 
 import click
 
-CONFIG = """\
+CONFIG_TEMPLATE = """\
 name = "try"
 listen = "127.0.0.1:0"
 {workers}
@@ -34,93 +35,120 @@
 """
 
 
-class Worker:
-    """A worker of the platform's protocol: it takes a job with a 202 and tells of its end by a call-back."""
+class DemoWorker:
+    """A simulated worker: it accepts a job with status 202, and reports its start and its end by call-backs.
+
+    Attributes:
+        name: Its name in the configuration.
+        run_s: How long each job runs, in seconds.
+        dispatcher: Host and port of the dispatcher, to be set before the first job.
+        server: Its HTTP server, which listens on a free port of loopback.
+    """
 
     def __init__(self, name: str, run_s: float) -> None:
+        """Start the HTTP server."""
         self.name, self.run_s = name, run_s
         self.dispatcher = ("", 0)
-        me = self
+        worker = self
 
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
             def log_message(self, format: str, *args: Any) -> None:
-                """What happens is told in words."""
+                """Log no requests; the demonstration prints its own lines."""
 
             def do_POST(self) -> None:
                 self.rfile.read(int(self.headers.get("Content-Length") or 0))
                 job = str(self.headers["Req-Id"])
-                click.echo(f"  {me.name} takes {job}")
+                click.echo(f"  {worker.name} takes {job}")
                 self.send_response(202)
                 self.send_header("Content-Length", "0")
                 self.end_headers()
-                threading.Thread(target=me.run, args=(job,), daemon=True).start()
+                threading.Thread(target=worker.run_job, args=(job,), daemon=True).start()
 
         self.server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self.server.daemon_threads = True
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
-    def run(self, job: str) -> None:
-        self.tell(job, "started")
+    def run_job(self, job: str) -> None:
+        """Report the start of a job, wait as long as it runs, and report its result."""
+        self.report_state(job, "started")
         time.sleep(self.run_s)
-        self.tell(job, "done", result=f"{job} by {self.name}")
-
-    def tell(self, job: str, state: str, **more: str) -> None:
-        call(self.dispatcher, "POST", "/_jobs/news", {"id": job, "from": self.name, "state": state, **more})
-
-
-def call(at: tuple[str, int], method: str, path: str, said: Any = None, **headers: str) -> tuple[int, str]:
-    conn = http.client.HTTPConnection(*at, timeout=30)
+        self.report_state(job, "done", result=f"{job} by {self.name}")
+
+    def report_state(self, job: str, state: str, **fields: str) -> None:
+        """Call the dispatcher back with the state of a job and further fields of the call-back."""
+        send_request(
+            self.dispatcher,
+            "POST",
+            "/_jobs/news",
+            {"id": job, "from": self.name, "state": state, **fields},
+        )
+
+
+def send_request(
+    address: tuple[str, int], method: str, path: str, payload: Any = None, **headers: str
+) -> tuple[int, str]:
+    """Send an HTTP request with `payload` as JSON; return the status and the body of the response.
+
+    Underscores in the names of `headers` become hyphens. Raises `OSError` and `http.client.HTTPException`.
+    """
+    connection = http.client.HTTPConnection(*address, timeout=30)
     try:
-        body = json.dumps(said) if said is not None else None
-        conn.request(method, path, body, {k.replace("_", "-"): v for k, v in headers.items()})
-        answer = conn.getresponse()
-        return answer.status, answer.read().decode()
+        body = json.dumps(payload) if payload is not None else None
+        connection.request(
+            method, path, body, {name.replace("_", "-"): value for name, value in headers.items()}
+        )
+        response = connection.getresponse()
+        return response.status, response.read().decode()
     finally:
-        conn.close()
+        connection.close()
 
 
 @click.command("try")
 @click.option("--jobs", default=6, show_default=True, type=click.IntRange(1, 1000))
 def try_it(jobs: int) -> None:
-    """See it at work: nothing is needed, nothing is left behind."""
-    workers = [Worker("quick-1", 0.05), Worker("quick-2", 0.05), Worker("slow", 0.4)]
+    """Run a demonstration. It needs no configuration and leaves nothing behind."""
+    workers = [DemoWorker("quick-1", 0.05), DemoWorker("quick-2", 0.05), DemoWorker("slow", 0.4)]
     rows = "".join(
-        f'[[workers]]\nname = "{w.name}"\naddress = "127.0.0.1:{w.server.server_address[1]}"\n'
-        for w in workers
+        f'[[workers]]\nname = "{worker.name}"\naddress = "127.0.0.1:{worker.server.server_address[1]}"\n'
+        for worker in workers
     )
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "try.toml"
-        path.write_text(CONFIG.format(workers=rows))
+        path.write_text(CONFIG_TEMPLATE.format(workers=rows))
         env = {**os.environ, "EIDERPIN_LOG_FORMAT": "json", "EIDERPIN_FRONTS": ""}
         command = [sys.executable, "-O", "-m", "eiderpin", "run", "--config", str(path)]
         process = subprocess.Popen(command, env=env, stderr=subprocess.PIPE, text=True)
         try:
-            play(process, workers, jobs)
+            run_demo(process, workers, jobs)
         finally:
             process.send_signal(signal.SIGTERM)
             process.communicate()
-    click.echo(f"The dispatcher has answered all and ended, exit code {process.returncode}.")
+    click.echo(f"The dispatcher has answered all requests and ended, exit code {process.returncode}.")
+
 
+def run_demo(process: subprocess.Popen[str], workers: list[DemoWorker], jobs: int) -> None:
+    """Wait until the dispatcher listens, send it the jobs one after the other, and print what happens.
 
-def play(process: subprocess.Popen[str], workers: list[Worker], jobs: int) -> None:
+    Raises `click.ClickException` if the dispatcher does not start.
+    """
     assert process.stderr is not None
     line = process.stderr.readline()
     try:
         host, _, port = str(json.loads(line)["edge"]).rpartition(":")
     except (ValueError, KeyError):
         raise click.ClickException(f"the dispatcher did not start: {line}{process.stderr.read()}") from None
-    at = (host, int(port))
+    address = (host, int(port))
     for worker in workers:
-        worker.dispatcher = at
+        worker.dispatcher = address
     click.echo(f"A dispatcher listens at {host}:{port}; {len(workers)} workers: "
                + ", ".join(f"{w.name} ({w.run_s * 1000:.0f} ms a job)" for w in workers))  # fmt: skip
-    click.echo(f"It says of itself: {call(at, 'GET', '/_health')[1].strip()}")
+    click.echo(f"Its health check reports: {send_request(address, 'GET', '/_health')[1].strip()}")
     for number in range(jobs):
         cls = "result-post" if number % 3 == 2 else "time-lookup"
-        job, begun = f"{cls}-{number + 1}", time.monotonic()
+        job, started = f"{cls}-{number + 1}", time.monotonic()
         click.echo(f"A client sends {job}")
-        status, result = call(at, "POST", f"/{cls}", {"runner": number}, Req_Id=job)
-        took = (time.monotonic() - begun) * 1000
-        click.echo(f"  answered {status} after {took:.0f} ms: {result.strip()}")
+        status, result = send_request(address, "POST", f"/{cls}", {"runner": number}, Req_Id=job)
+        elapsed_ms = (time.monotonic() - started) * 1000
+        click.echo(f"  answered {status} after {elapsed_ms:.0f} ms: {result.strip()}")
