--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -462,7 +462,7 @@
     def drain(self) -> str:
         """The management call `drain`: close clients' connections and report `drain` until `resume`."""
         if self.handed_over:
-            return "fail a newer process has the clients: call its management address"
+            return "fail a newer process has the clients: ask at its door"
         self.drained = True
         self.update_serving_state()
         return "ok drained"
@@ -470,7 +470,7 @@
     def resume(self) -> str:
         """The management call `resume`: end a drain."""
         if self.handed_over:
-            return "fail a newer process has the clients: call its management address"
+            return "fail a newer process has the clients: ask at its door"
         if self.shutdown.begun:
             return "fail it has been told to end"
         self.drained = False
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -60,7 +60,7 @@
         is added to the code alone."""
         text = (ROOT / "deploy/example.toml").read_text()
         source = (ROOT / "eiderpin/wire.py").read_text()
-        parsing_code = source[source.index("def settings(") : source.index("# ---- events")]
+        parsing_code = source[source.index("def decode_settings(") : source.index("# ---- events")]
         keys = set(re.findall(r'_(?:get|word)\(\w+, "(\w+)"', parsing_code))
         self.assertGreater(len(keys), 40)
         self.assertEqual({key for key in keys if not re.search(rf"\b{key}\b", text)}, set())
