--- a/eiderpin/cli/jobs.py
+++ b/eiderpin/cli/jobs.py
@@ -11,9 +11,9 @@
 
 from eiderpin.durable import reading
 from eiderpin.durable.files import Files
-from eiderpin.durable.frames import BadFormat, Record
+from eiderpin.durable.frames import FormatError, Record
 from eiderpin.jobs import records
-from eiderpin.jobs.ledger import BrokenRule, Job, Ledger
+from eiderpin.jobs.ledger import Job, Ledger, LedgerRuleError
 
 TRIES = 5  # a live owner may replace its files by a checkpoint while we read
 
@@ -23,7 +23,7 @@
 
     def __init__(self, folder: str) -> None:
         self.ledger = Ledger()
-        self.found = reading.Found()
+        self.found = reading.LogSummary()
         self.read_error = ""
         self.counts: Counter[str] = Counter()
         for left in reversed(range(TRIES)):
@@ -35,7 +35,7 @@
                     time.sleep(0.05)
                     continue
                 self.read_error = f"{error.filename or error}: it is not there"
-            except (reading.Damaged, BadFormat, BrokenRule, OSError) as error:
+            except (reading.LogDamagedError, FormatError, LedgerRuleError, OSError) as error:
                 self.read_error = str(error)
             return
 
--- a/eiderpin/durable/files.py
+++ b/eiderpin/durable/files.py
@@ -8,7 +8,7 @@
 import os
 
 
-class Locked(Exception):
+class DirectoryLockedError(Exception):
     """Another process owns the directory."""
 
 
@@ -61,13 +61,16 @@
             os.close(fd)
 
     def lock(self, name: str) -> int:
-        """Own the directory until the descriptor is closed or the process ends. Raises `Locked`."""
+        """Own the directory until the descriptor is closed or the process ends.
+
+        Raises `DirectoryLockedError`.
+        """
         fd = os.open(self.path(name), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(fd)
-            raise Locked(f"{self.folder}: another process owns it") from None
+            raise DirectoryLockedError(f"{self.folder}: another process owns it") from None
         return fd
 
 
--- a/eiderpin/durable/frames.py
+++ b/eiderpin/durable/frames.py
@@ -24,7 +24,7 @@
 MOST_BODY = 16 << 20
 
 
-class BadFormat(ValueError):
+class FormatError(ValueError):
     """It is no file of ours, or one of a newer format."""
 
 
@@ -60,16 +60,16 @@
 
 
 def read_header(data: bytes) -> tuple[int, int]:
-    """A segment's number and how much counts of the one before. Raises `BadFormat`."""
+    """A segment's number and how much counts of the one before. Raises `FormatError`."""
     if len(data) < HEADER_SIZE:
-        raise BadFormat("it ends within its header")
+        raise FormatError("it ends within its header")
     magic, form, _, _, number, before, crc = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise BadFormat(f"it begins with {magic!r}, not with {MAGIC!r}")
+        raise FormatError(f"it begins with {magic!r}, not with {MAGIC!r}")
     if form > FORMAT:
-        raise BadFormat(f"its format is {form}; this version of eiderpin reads up to {FORMAT}")
+        raise FormatError(f"its format is {form}; this version of eiderpin reads up to {FORMAT}")
     if crc != crc32c(data[: HEADER_SIZE - _CRC.size]):
-        raise BadFormat("its header is damaged")
+        raise FormatError("its header is damaged")
     return number, before
 
 
--- a/eiderpin/durable/log.py
+++ b/eiderpin/durable/log.py
@@ -11,7 +11,7 @@
 from eiderpin.durable.files import Files
 from eiderpin.durable.flusher import SEGMENT_BYTES, Flusher, Snapshot
 from eiderpin.durable.frames import Record
-from eiderpin.durable.reading import Found
+from eiderpin.durable.reading import LogSummary
 
 LOCK = "LOCK"
 CHECKPOINT_BYTES = 32 << 20  # records appended since the last checkpoint after which the next is due
@@ -19,7 +19,7 @@
 Told = Callable[[bool], None]  # whether it is on disk
 
 
-class NotWritable(Exception):
+class LogNotWritableError(Exception):
     """The disk has failed: nothing is taken until it has come back."""
 
 
@@ -27,8 +27,8 @@
     """One owner's log. All but the flusher's work is done in the loop's thread; `fileno` becomes readable
     when `settle` has something to tell.
 
-    Raises `Locked` where another process owns the directory, `BadFormat` and `Damaged` as `reading.read`
-    does, and `OSError`.
+    Raises `DirectoryLockedError` where another process owns the directory, `FormatError` and
+    `LogDamagedError` as `reading.read` does, and `OSError`.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._lock = files.lock(LOCK)
         self._event = -1
         try:
-            self.found: Found = reading.read(files, apply)
+            self.found: LogSummary = reading.read(files, apply)
             self._event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
             self.flusher = Flusher(files, self.found.segment + 1, self.found.end, self._wake, segment_bytes)
         except BaseException:
@@ -63,9 +63,9 @@
 
     def append(self, kind: int, version: int, body: bytes, told: Told | None = None) -> None:
         """Take a record, to be written by the next `push`; `told` is called by a later `settle`. Raises
-        `NotWritable`."""
+        `LogNotWritableError`."""
         if self.failed is not None:
-            raise NotWritable(str(self.failed))
+            raise LogNotWritableError(str(self.failed))
         self.appended += 1
         self._bytes += len(body)
         if told is not None:
@@ -98,7 +98,7 @@
         with self.flusher.changed:
             synced, failed = self.flusher.synced, self.flusher.failed
         if self.failed is not None:
-            return  # `try_again` asks for the rest
+            return  # `start_rewrite` asks for the rest
         while self._waiting and self._waiting[0][0] <= synced:
             self._waiting.popleft()[1](True)
         if failed is not None:
@@ -108,12 +108,12 @@
             for _, told in lost:
                 told(False)
 
-    def try_again(self, records: Iterable[Record]) -> None:
-        """After a failure, write all that holds anew. `came_back` says later whether that went well."""
+    def start_rewrite(self, records: Iterable[Record]) -> None:
+        """After a failure, write all that holds anew. `finish_rewrite` says later whether that went well."""
         self.flusher.renew(records)
 
-    def came_back(self) -> bool:
-        """Whether the disk takes records again, after `try_again`."""
+    def finish_rewrite(self) -> bool:
+        """Whether the disk takes records again, after `start_rewrite`."""
         with self.flusher.changed:
             if self.failed is None or self.flusher.failed is not None or self.flusher.renewal is not None:
                 return False
--- a/eiderpin/durable/reading.py
+++ b/eiderpin/durable/reading.py
@@ -12,7 +12,7 @@
 
 from eiderpin.durable import frames
 from eiderpin.durable.files import Files
-from eiderpin.durable.frames import BadFormat, Record, Tail
+from eiderpin.durable.frames import FormatError, Record, Tail
 
 SEGMENT = re.compile(r"(\d{16})\.seg")
 CHECKPOINT = re.compile(r"(\d{16})\.ckp")
@@ -22,13 +22,13 @@
 MOST_CHECKPOINT = 4 << 30
 
 
-class Damaged(Exception):
+class LogDamagedError(Exception):
     """What had been acknowledged cannot be read; the message names the file, the byte and what is in
     doubt."""
 
 
 @dataclass(slots=True)
-class Found:
+class LogSummary:
     """What a directory holds: `segment` is the last, of which `end` bytes count."""
 
     segment: int = 0
@@ -63,35 +63,36 @@
 
 
 def unpack_checkpoint(name: str, data: bytes) -> list[Record]:
-    """Raises `BadFormat` for a newer format and `Damaged`: a checkpoint has its name only when it is
-    whole."""
+    """Raises `FormatError` for a newer format and `LogDamagedError`: a checkpoint has its name only when
+    it is whole."""
     if len(data) >= 10 and data[:8] == CKP_MAGIC and struct.unpack_from("<H", data, 8)[0] > frames.FORMAT:
-        raise BadFormat(f"{name}: its format is newer than {frames.FORMAT}, which this version reads")
+        raise FormatError(f"{name}: its format is newer than {frames.FORMAT}, which this version reads")
     doubt = "no job of this ledger can be vouched for"
     if len(data) < _CKP.size:
-        raise Damaged(f"{name}: damaged at byte {len(data)}: {doubt}")
+        raise LogDamagedError(f"{name}: damaged at byte {len(data)}: {doubt}")
     magic, _, _, _, size, crc, own = _CKP.unpack_from(data)
     packed = data[_CKP.size :]
     if magic != CKP_MAGIC or own != crc32c(data[: _CKP.size - 4]) or crc != crc32c(packed):
-        raise Damaged(f"{name}: damaged: {doubt}")
+        raise LogDamagedError(f"{name}: damaged: {doubt}")
     if size > MOST_CHECKPOINT:
-        raise Damaged(f"{name}: it says that it holds {size} bytes: {doubt}")
+        raise LogDamagedError(f"{name}: it says that it holds {size} bytes: {doubt}")
     plain = zstandard.ZstdDecompressor().decompressobj().decompress(packed)
     found = frames.scan(bytes(frames.HEADER_SIZE) + plain)
     if len(plain) != size or found.tail is not Tail.WHOLE:
-        raise Damaged(f"{name}: damaged: {doubt}")
+        raise LogDamagedError(f"{name}: damaged: {doubt}")
     return found.records
 
 
-def read(files: Files, apply: Callable[[Record], None]) -> Found:
+def read(files: Files, apply: Callable[[Record], None]) -> LogSummary:
     """Give all records to `apply`, in order, the last checkpoint's first. One segment at a time is in memory.
 
-    Raises `BadFormat`, `Damaged`, `OSError`. What `apply` has had by then is what can be vouched for.
+    Raises `FormatError`, `LogDamagedError`, `OSError`. What `apply` has had by then is what can be vouched
+    for.
     """
     names = files.names()
     numbers = sorted(int(m[1]) for n in names if (m := SEGMENT.fullmatch(n)))
     checkpoints = sorted(int(m[1]) for n in names if (m := CHECKPOINT.fullmatch(n)))
-    found = Found()
+    found = LogSummary()
     if checkpoints:
         found.checkpoint = checkpoints[-1]
         name = checkpoint_name(found.checkpoint)
@@ -122,13 +123,13 @@
     return found
 
 
-def _missing(number: int) -> Damaged:
+def _missing(number: int) -> LogDamagedError:
     text = "it is missing: what it held, and what followed, cannot be vouched for"
-    return Damaged(f"{segment_name(number)}: {text}")
+    return LogDamagedError(f"{segment_name(number)}: {text}")
 
 
 def _read_segment(
-    found: Found, number: int, data: bytes, limit: int | None, apply: Callable[[Record], None]
+    found: LogSummary, number: int, data: bytes, limit: int | None, apply: Callable[[Record], None]
 ) -> None:
     scan = frames.scan(data, limit)
     for record in scan.records:
@@ -139,7 +140,7 @@
     found.segment, found.end = number, scan.end
     found.torn = len(data) - scan.end if limit is None else 0
     if scan.tail is Tail.DAMAGED:
-        raise Damaged(
+        raise LogDamagedError(
             f"{segment_name(number)}: damaged at byte {scan.end}: the {found.records} records before it are "
             f"good; what followed had been acknowledged and cannot be vouched for"
         )
@@ -149,12 +150,12 @@
     """Whether its header is good; a last segment may have been cut off while it was made."""
     try:
         said, _ = frames.read_header(data)
-    except BadFormat as error:
+    except FormatError as error:
         if last and len(data) <= frames.HEADER_SIZE and "format" not in str(error):
             return False
-        raise BadFormat(f"{segment_name(number)}: {error}") from None
+        raise FormatError(f"{segment_name(number)}: {error}") from None
     if said != number:
-        raise BadFormat(f"{segment_name(number)}: its header says that it is segment {said}")
+        raise FormatError(f"{segment_name(number)}: its header says that it is segment {said}")
     return True
 
 
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -11,19 +11,19 @@
 from eiderpin.core.durability import JobMismatchError
 from eiderpin.core.moves import WaitingClient, transfer_durable_request
 from eiderpin.core.requests import FAILED, Request
-from eiderpin.durable.files import Locked
-from eiderpin.durable.frames import BadFormat
-from eiderpin.durable.reading import Damaged
-from eiderpin.jobs.elsewhere import Elsewhere
+from eiderpin.durable.files import DirectoryLockedError
+from eiderpin.durable.frames import FormatError
+from eiderpin.durable.reading import LogDamagedError
+from eiderpin.jobs.elsewhere import UnavailableJobManager
 from eiderpin.jobs.keeper import JobManager
-from eiderpin.jobs.ledger import BrokenRule
+from eiderpin.jobs.ledger import LedgerRuleError
 from eiderpin.jobs.recovery import recover
 from eiderpin.net.edge import ClientConnection
 from eiderpin.net.loop import READ, Loop
 from eiderpin.net.workers import HttpWorkers
 from eiderpin.parts.durable import DurableOptions
 
-LEDGER_ERRORS = (Locked, BadFormat, Damaged, BrokenRule, OSError)
+LEDGER_ERRORS = (DirectoryLockedError, FormatError, LogDamagedError, LedgerRuleError, OSError)
 ASK_EVERY = 100.0  # ms between looks whether our predecessor has given the ledger up ...
 ASK_AFTER_FAILURE = 5000.0  # ... and when it could not be read
 LIST_WITHIN = 3000.0  # ms in which the list must come before a ledger's jobs are taken up without it
@@ -57,10 +57,10 @@
         try:
             job_manager = JobManager(self.core, self.options, self.name)
         except LEDGER_ERRORS as error:
-            if not isinstance(error, Locked) or not self.shared:
+            if not isinstance(error, DirectoryLockedError) or not self.shared:
                 raise
             if self.core.job_manager is None:
-                self.core.job_manager = Elsewhere(self.options)
+                self.core.job_manager = UnavailableJobManager(self.options)
             self.ask_at = self.loop.clock.now() + ASK_EVERY
             return
         self.core.job_manager = self.job_manager = job_manager
@@ -177,7 +177,11 @@
                 waiting.append((waits, waiter))
         self.loop.selector.unregister(job_manager.log)
         job_manager.close()
-        self.job_manager, self.core.job_manager, self.released = None, Elsewhere(self.options), True
+        self.job_manager, self.core.job_manager, self.released = (
+            None,
+            UnavailableJobManager(self.options),
+            True,
+        )
         return waiting
 
     # -- the end
--- a/eiderpin/jobs/elsewhere.py
+++ b/eiderpin/jobs/elsewhere.py
@@ -9,7 +9,7 @@
 from eiderpin.parts.durable import DurableOptions
 
 
-class Elsewhere:
+class UnavailableJobManager:
     """Implements `core.durability.DurableJobManager` for jobs that it never takes."""
 
     def __init__(self, options: DurableOptions) -> None:
--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -16,7 +16,7 @@
 from eiderpin.core.requests import Answer, Attempt, Request, Verdict
 from eiderpin.durable.files import Files
 from eiderpin.durable.frames import Record
-from eiderpin.durable.log import Log, NotWritable
+from eiderpin.durable.log import Log, LogNotWritableError
 from eiderpin.jobs import records
 from eiderpin.jobs.ledger import Ledger, MayNotRun, asks_same
 from eiderpin.jobs.records import Accepted, AnyRecord, Ended, Opened, Released
@@ -41,8 +41,11 @@
 
 
 class JobManager:
-    """Implements `core.durability.DurableJobManager`. Raises `Locked`, `BadFormat`, `Damaged`, `BrokenRule`
-    and `OSError` where the ledger cannot be read or owned."""
+    """Implements `core.durability.DurableJobManager`.
+
+    Raises `DirectoryLockedError`, `FormatError`, `LogDamagedError`, `LedgerRuleError` and `OSError` where the
+    ledger cannot be read or owned.
+    """
 
     def __init__(
         self, core: Dispatcher, options: DurableOptions, name: str, files: Files | None = None
@@ -98,9 +101,9 @@
     # -- writing
 
     def put(self, record: AnyRecord, told: Callable[[bool], None] | None = None) -> None:
-        """Apply a record and have it written. Raises `NotWritable`, and has then changed nothing."""
+        """Apply a record and have it written. Raises `LogNotWritableError`, and has then changed nothing."""
         if self.log.failed is not None:
-            raise NotWritable(str(self.log.failed))
+            raise LogNotWritableError(str(self.log.failed))
         self.ledger.apply(record)
         packed = records.pack(record)
         self.log.append(packed.kind, packed.version, packed.body, told)
@@ -130,12 +133,12 @@
     def look_again(self) -> None:
         """A failed disk is tried until it takes all that holds; what waits for it then is told."""
         deadlines, clock = self.core.deadlines, self.core.clock
-        if self.log.came_back():
+        if self.log.finish_rewrite():
             # What has happened since the snapshot that brought it back is not in that one.
             self.log.checkpoint(self.snapshot())
             self.put(self.opened(self.ledger.term), self.back)
             return
-        self.log.try_again(self.snapshot())
+        self.log.start_rewrite(self.snapshot())
         deadlines.set(clock.now() + TRY_AGAIN, self.look_again)
 
     def back(self, ok: bool) -> None:
--- a/eiderpin/jobs/ledger.py
+++ b/eiderpin/jobs/ledger.py
@@ -17,7 +17,7 @@
 from eiderpin.jobs.records import Accepted, AnyRecord, Ended, Leased, Opened, Released
 
 
-class BrokenRule(Exception):
+class LedgerRuleError(Exception):
     """A record that the rules do not allow after those before it."""
 
 
@@ -128,10 +128,10 @@
     # -- records
 
     def apply(self, record: AnyRecord) -> None:
-        """Take a record in. Raises `BrokenRule`, and has then changed nothing."""
+        """Take a record in. Raises `LedgerRuleError`, and has then changed nothing."""
         if isinstance(record, Opened):
             if record.term < self.term:
-                raise BrokenRule(f"term {record.term} after term {self.term}")
+                raise LedgerRuleError(f"term {record.term} after term {self.term}")
             self.term, self.owner, self.single = record.term, record.name, frozenset(record.single)
             self._opened = record
         elif isinstance(record, Accepted):
@@ -139,7 +139,9 @@
         else:
             job = self.jobs.get(record.job)
             if job is None:
-                raise BrokenRule(f"{type(record).__name__} of job {record.job}, which was never taken on")
+                raise LedgerRuleError(
+                    f"{type(record).__name__} of job {record.job}, which was never taken on"
+                )
             if isinstance(record, Leased):
                 self._leased(job, record)
             elif isinstance(record, Released):
@@ -150,12 +152,12 @@
 
     def _accepted(self, record: Accepted) -> None:
         if record.job in self.jobs:
-            raise BrokenRule(f"job {record.job} is taken on twice")
+            raise LedgerRuleError(f"job {record.job} is taken on twice")
         if record.unique:
             try:
                 self.accept(record)
             except NameTaken as error:
-                raise BrokenRule(str(error)) from None
+                raise LedgerRuleError(str(error)) from None
             self._names[record.cls, record.unique] = record.job
         self._wires[record.wire_id] = record.job
         self.jobs[record.job] = Job(record)
@@ -163,17 +165,17 @@
 
     def _leased(self, job: Job, record: Leased) -> None:
         if job.ended is not None:
-            raise BrokenRule(f"job {record.job} is leased after its end")
+            raise LedgerRuleError(f"job {record.job} is leased after its end")
         if job.accepted.cls in self.single and job.may_have_run:
-            raise BrokenRule(f"job {record.job} must not run twice, and is leased again")
+            raise LedgerRuleError(f"job {record.job} must not run twice, and is leased again")
         if any(lease.leased.attempt == record.attempt for lease in job.leases):
-            raise BrokenRule(f"job {record.job}: attempt {record.attempt} is leased twice")
+            raise LedgerRuleError(f"job {record.job}: attempt {record.attempt} is leased twice")
         job.leases.append(Lease(record))
 
     def _released(self, job: Job, record: Released) -> None:
         lease = next((x for x in job.leases if x.leased.attempt == record.attempt), None)
         if lease is None:
-            raise BrokenRule(f"job {record.job}: attempt {record.attempt} was never leased")
+            raise LedgerRuleError(f"job {record.job}: attempt {record.attempt} was never leased")
         if lease.released is None or (lease.released.ran and not record.ran):
             lease.released = record
 
@@ -181,7 +183,7 @@
         before = job.ended
         again = before is not None and (before.verdict, before.result) == (record.verdict, record.result)
         if before is not None and (before.told or (before.verdict == "succeeded" and not again)):
-            raise BrokenRule(f"job {record.job} ends twice, and its first end was told")
+            raise LedgerRuleError(f"job {record.job} ends twice, and its first end was told")
         job.ended = record
         if not self.keeps(job):
             self._forget(record.job)
--- a/eiderpin/jobs/records.py
+++ b/eiderpin/jobs/records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from eiderpin.durable.frames import BadFormat, Record
+from eiderpin.durable.frames import FormatError, Record
 
 
 class Opened(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -99,14 +99,14 @@
 
 
 def unpack(record: Record) -> AnyRecord:
-    """Raises `BadFormat` for a kind or version that this program does not know."""
+    """Raises `FormatError` for a kind or version that this program does not know."""
     decoder = _DECODERS.get(record.kind)
     if decoder is None or record.version > VERSION:
-        raise BadFormat(
+        raise FormatError(
             f"a record of kind {record.kind}, version {record.version}; this version of eiderpin reads kinds "
             f"1 to {max(KINDS)}, version {VERSION}"
         )
     try:
         return decoder.decode(record.body)
     except msgspec.MsgspecError as error:
-        raise BadFormat(f"a record of kind {record.kind} that makes no sense: {error}") from None
+        raise FormatError(f"a record of kind {record.kind} that makes no sense: {error}") from None
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -168,7 +168,7 @@
         """Begin as a member of the store; where a process beside us still is that member, once it has ended.
         Raises `ConfigError` where that can't be."""
         try:
-            from eiderpin.durable.files import Locked
+            from eiderpin.durable.files import DirectoryLockedError
             from eiderpin.fleet.shared_state import SharedState
             from eiderpin.store import door, host
         except ModuleNotFoundError as error:
@@ -182,7 +182,7 @@
         try:
             self.store = host.StoreHost(self.loop, self.counters, options, rng, self.say, warn)
         except host.UNREADABLE as error:
-            if not isinstance(error, Locked) or self.config.inherited is None:
+            if not isinstance(error, DirectoryLockedError) or self.config.inherited is None:
                 raise ConfigError(f"store.directory {options.folder}: {error}") from None
             self.deadlines.set(self.clock.now() + STORE_EVERY, lambda: self.keep_store(options))
             if self.management is not None:
@@ -191,7 +191,9 @@
                 from eiderpin.jobs import elsewhere
                 from eiderpin.parts import durable as job_options
 
-                self.core.job_manager = elsewhere.Elsewhere(job_options.DurableOptions("", options.outcomes))
+                self.core.job_manager = elsewhere.UnavailableJobManager(
+                    job_options.DurableOptions("", options.outcomes)
+                )
             return
         except ValueError as error:
             raise ConfigError(str(error)) from None
--- a/eiderpin/store/backup.py
+++ b/eiderpin/store/backup.py
@@ -11,10 +11,10 @@
 from crc32c import crc32c
 
 from eiderpin.configuration import replace_file
-from eiderpin.durable.files import Files, Locked
-from eiderpin.durable.frames import BadFormat
+from eiderpin.durable.files import DirectoryLockedError, Files
+from eiderpin.durable.frames import FormatError
 from eiderpin.durable.log import Log
-from eiderpin.durable.reading import Damaged
+from eiderpin.durable.reading import LogDamagedError
 from eiderpin.parts.store import NAME_PATTERN, parse_address
 from eiderpin.store.anchor import Anchor
 from eiderpin.store.messages import Config, EntryKind, HardState, Snapshot
@@ -62,7 +62,7 @@
     try:
         Log(Files(folder), found.apply).close()
         snapshot = found.snapshot
-    except (Locked, Damaged, BadFormat) as error:
+    except (DirectoryLockedError, LogDamagedError, FormatError) as error:
         raise ValueError(f"{folder}: {error}") from None
     if found.born is None:
         raise ValueError(f"{folder}: it is no member's directory")
--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -9,10 +9,10 @@
 from msgspec.structs import replace
 
 from eiderpin.core.counters import Counters
-from eiderpin.durable.files import Files, Locked
-from eiderpin.durable.frames import BadFormat, Record
-from eiderpin.durable.log import Log, NotWritable
-from eiderpin.durable.reading import Damaged
+from eiderpin.durable.files import DirectoryLockedError, Files
+from eiderpin.durable.frames import FormatError, Record
+from eiderpin.durable.log import Log, LogNotWritableError
+from eiderpin.durable.reading import LogDamagedError
 from eiderpin.net.loop import READ, Loop
 from eiderpin.parts.store import StoreOptions
 from eiderpin.store import identity
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from eiderpin.store.observer_server import ObserverServer
 
-UNREADABLE = (Locked, BadFormat, Damaged, OSError)
+UNREADABLE = (DirectoryLockedError, FormatError, LogDamagedError, OSError)
 TRY_AGAIN = 500.0  # ms between looks whether a failed disk has come back
 CUT_OFF = 3000.0  # ms without a leader after which a member says that it is cut off
 
@@ -46,7 +46,7 @@
                 self.log.append(record.kind, record.version, record.body)
             last = said[-1]
             self.log.append(last.kind, last.version, last.body, told)
-        except NotWritable:
+        except LogNotWritableError:
             told(False)
 
     def checkpoint(self, all_of_it: Iterable[Record]) -> None:
@@ -212,11 +212,11 @@
 
     def look_again(self) -> None:
         """See whether a disk that failed takes writes again."""
-        if self.log.came_back():
+        if self.log.finish_rewrite():
             self.say("the store's disk is back")
             self.member.disk_is_back(self.loop.clock.now())
             return
-        self.log.try_again(self.member.all_records())
+        self.log.start_rewrite(self.member.all_records())
         self.loop.deadlines.set(self.loop.clock.now() + TRY_AGAIN, self.look_again)
 
     def push(self) -> None:
--- a/eiderpin/store/records.py
+++ b/eiderpin/store/records.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from eiderpin.durable.frames import BadFormat, Record
+from eiderpin.durable.frames import FormatError, Record
 from eiderpin.store.messages import Config, Entry, HardState, Snapshot
 
 VERSION = 1
@@ -81,17 +81,17 @@
     parts: list[bytes] = field(default_factory=list)
 
     def apply(self, record: Record) -> None:
-        """Raises `BadFormat`."""
+        """Raises `FormatError`."""
         decoder = _DECODERS.get(record.kind)
         if decoder is None or record.version > VERSION:
-            raise BadFormat(
+            raise FormatError(
                 f"a record of kind {record.kind}, version {record.version}; this version of eiderpin reads "
                 f"kinds 1 to {max(KINDS)}, version {VERSION}"
             )
         try:
             said = decoder.decode(record.body)
         except msgspec.MsgspecError as error:
-            raise BadFormat(f"a record of kind {record.kind} that makes no sense: {error}") from None
+            raise FormatError(f"a record of kind {record.kind} that makes no sense: {error}") from None
         if isinstance(said, Entry):
             self._entry(said)
         elif isinstance(said, HardState):
@@ -106,14 +106,14 @@
     def _entry(self, entry: Entry) -> None:
         first = self.entries[0].index if self.entries else self.head.index + 1
         if entry.index < first or entry.index > first + len(self.entries):
-            raise BadFormat(f"entry {entry.index} after {first + len(self.entries) - 1}")
+            raise FormatError(f"entry {entry.index} after {first + len(self.entries) - 1}")
         del self.entries[entry.index - first :]
         self.entries.append(entry)
 
     @property
     def snapshot(self) -> Snapshot:
-        """Raises `BadFormat`."""
+        """Raises `FormatError`."""
         data = b"".join(self.parts)
         if len(data) != self.head.total:
-            raise BadFormat(f"a snapshot of {self.head.total} bytes, of which {len(data)} are there")
+            raise FormatError(f"a snapshot of {self.head.total} bytes, of which {len(data)} are there")
         return Snapshot(self.head.index, self.head.term, self.head.config, data)
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -8,7 +8,7 @@
 import threading
 from dataclasses import dataclass, field
 
-from eiderpin.durable.files import Files, Locked
+from eiderpin.durable.files import DirectoryLockedError, Files
 
 
 @dataclass
@@ -95,7 +95,7 @@
 
     def lock(self, name: str) -> int:
         if self.locked:
-            raise Locked("/disk: another process owns it")
+            raise DirectoryLockedError("/disk: another process owns it")
         return -1
 
     def crash(self, rng: random.Random) -> Disk:
--- a/tests/test_crash.py
+++ b/tests/test_crash.py
@@ -34,7 +34,7 @@
 from tests.test_upgrade import TOOK, said, side
 
 
-class Keeps:
+class HeldWorker:
     """A worker that takes jobs and tells of their end when it is told to."""
 
     def __init__(self, name: str = "h1") -> None:
@@ -66,9 +66,9 @@
 
     def __init__(self, **durable: Any) -> None:
         self.folder = tempfile.TemporaryDirectory()
-        self.keeps = Keeps()
+        self.held_worker = HeldWorker()
         self.discovery = Discovery()
-        self.discovery.list("h1", self.keeps.worker.port)
+        self.discovery.list("h1", self.held_worker.worker.port)
         self.programs: list[Program] = []
         self.durable = {"directory": self.folder.name, "classes": ["result-post"], **durable}
 
@@ -78,7 +78,7 @@
         fronts: Any = {"gearman": last.at["gearman"]} if last is not None else ("gearman",)
         program = Program(self.discovery, fronts=fronts, durable=self.durable, prelude=prelude, **listen)
         self.programs.append(program)
-        self.keeps.worker.back = program.edge
+        self.held_worker.worker.back = program.edge
         program.ready()
         return program
 
@@ -88,23 +88,23 @@
 
     @property
     def ran(self) -> dict[str, int]:
-        return self.keeps.worker.ran
+        return self.held_worker.worker.ran
 
 
 @contextlib.contextmanager
-def installation(**durable: Any) -> Iterator[Installation]:
+def run_installation(**durable: Any) -> Iterator[Installation]:
     it = Installation(**durable)
     try:
         yield it
         lines = [line for program in it.programs for line in program.lines]
         assert not [line for line in lines if "Traceback" in line or "invariant" in line], lines
     finally:
-        it.keeps.go.set()
+        it.held_worker.go.set()
         for program in it.programs:
             program.process.kill()
             program.stop()
         it.discovery.stop()
-        it.keeps.worker.stop()
+        it.held_worker.worker.stop()
         it.folder.cleanup()
 
 
@@ -112,7 +112,7 @@
     return http_call(program.edge, "POST", "/result-post", body, Idempotency_Key=f'"{name}"')[:2]
 
 
-def post_behind(program: Program, name: str) -> threading.Thread:
+def post_in_background(program: Program, name: str) -> threading.Thread:
     """A client that goes down with the dispatcher."""
 
     def run() -> None:
@@ -155,61 +155,63 @@
 class Crashes(unittest.TestCase):
     def test_killed_at_each_place_that_matters(self) -> None:
         for place, how, runs, answer in PLACES:
-            with self.subTest(between=place), installation(silence_ms=2000) as it:
-                it.keeps.go.set()
+            with self.subTest(between=place), run_installation(silence_ms=2000) as it:
+                it.held_worker.go.set()
                 first = it.start(DIES + how)
-                it.keeps.answers = threading.Event()  # a 202 finds the dispatcher dead, or none was due yet
+                it.held_worker.answers = (
+                    threading.Event()
+                )  # a 202 finds the dispatcher dead, or none was due yet
                 if place.startswith(("result", "record")):
-                    it.keeps.answers.set()
-                post_behind(first, "a1")
+                    it.held_worker.answers.set()
+                post_in_background(first, "a1")
                 self.assertEqual(first.process.wait(20), -signal.SIGKILL)
-                it.keeps.answers.set()
+                it.held_worker.answers.set()
                 second = it.start()
                 self.assertEqual(post(second, "a1"), answer)
                 self.assertEqual(post(second, "a1"), answer)
                 self.assertEqual(it.ran["a1"], runs)
 
     def test_a_gearman_worker_that_drops_mid_job_while_we_are_down(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             first = it.start()
-            it.discovery.list("h1", it.keeps.worker.port, lifecycle="Terminating")
+            it.discovery.list("h1", it.held_worker.worker.port, lifecycle="Terminating")
             wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 503, "the worker's drain")
             worker = GearmanWorker(first.at["gearman"], ["result-post"], lambda worker, packet: False)
             wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 200, "the Gearman worker")
-            post_behind(first, "a1")
+            post_in_background(first, "a1")
             wait_for(lambda: worker.ran[b"a1"], "the job to be out")
             it.kill()
             worker.close()
-            it.discovery.list("h1", it.keeps.worker.port)
+            it.discovery.list("h1", it.held_worker.worker.port)
             second = it.start()
             self.assertEqual(post(second, "a1")[0], 500)  # it may have run, and nobody can tell
             self.assertEqual((it.ran["a1"], worker.ran[b"a1"]), (0, 1))
 
     def test_progress_keeps_a_lease_and_two_ledgers_share_a_worker(self) -> None:
-        with installation(silence_ms=1500) as it, tempfile.TemporaryDirectory() as folder:
+        with run_installation(silence_ms=1500) as it, tempfile.TemporaryDirectory() as folder:
             first = it.start()
             other = Program(it.discovery, durable={**it.durable, "directory": folder})
             it.programs.append(other)
             other.ready()
-            post_behind(first, "a1")
-            post_behind(other, "b1")
+            post_in_background(first, "a1")
+            post_in_background(other, "b1")
             wait_for(lambda: it.ran["a1"] and it.ran["b1"], "both jobs to be out")
             it.kill()  # the other one
             again = Program(it.discovery, durable={**it.durable, "directory": folder}, listen=other.edge)
             it.programs.append(again)
             for _ in range(8):  # over twice the silence
                 for program, name in ((first, "a1"), (again, "b1")):
-                    it.keeps.worker.back = program.edge
-                    self.assertEqual(it.keeps.worker.tell(name, "running", share=0.1), 204)
+                    it.held_worker.worker.back = program.edge
+                    self.assertEqual(it.held_worker.worker.tell(name, "running", share=0.1), 204)
                 threading.Event().wait(0.4)
             for program, name in ((first, "a1"), (again, "b1")):
-                it.keeps.worker.back = program.edge
-                self.assertEqual(it.keeps.worker.tell(name, "done", result=f"ran {name}"), 204)
+                it.held_worker.worker.back = program.edge
+                self.assertEqual(it.held_worker.worker.tell(name, "done", result=f"ran {name}"), 204)
                 self.assertEqual(post(program, name), (200, f"ran {name}".encode()))
             self.assertEqual(it.ran, {"a1": 1, "b1": 1})
 
     def test_a_clock_that_has_stepped_back_gives_no_job_more_time(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             hour, now, cls, target = 3_600_000.0, time.time() * 1000, "result-post", b"/result-post"
             log = Log(Files(it.folder.name), lambda record: None)
             for record in (
@@ -220,7 +222,7 @@
                 packed = records.pack(record)
                 log.append(packed.kind, packed.version, packed.body)
             log.close()
-            it.discovery.list("h1", it.keeps.worker.port, lifecycle="Terminating")
+            it.discovery.list("h1", it.held_worker.worker.port, lifecycle="Terminating")
             program = Program(it.discovery, durable=it.durable, fronts=("gearman",))
             it.programs.append(program)
             wait_for(lambda: any("recovered jobs: 2 place" in x for x in program.lines), "the recovery")
@@ -233,15 +235,15 @@
     def test_a_clock_that_has_stepped_forward_takes_no_time_and_no_kept_answer(self) -> None:
         """Each start finds the wall clock an hour ahead of where the last process left it."""
         ahead = "import time\nreal = time.time\ntime.time = lambda: real() + {hours} * 3600.0\n"
-        with installation(keep_s=600) as it:
+        with run_installation(keep_s=600) as it:
             first = it.start()
-            held = post_behind(first, "b1")
+            held = post_in_background(first, "b1")
             wait_for(lambda: it.ran["b1"], "the job to be out")
-            it.keeps.go.set()
+            it.held_worker.go.set()
             self.assertEqual(post(first, "a1"), (200, b"ran a1"))
             held.join(20)
-            it.keeps.go.clear()
-            held = post_behind(first, "c1")
+            it.held_worker.go.clear()
+            held = post_in_background(first, "c1")
             wait_for(lambda: it.ran["c1"], "the job to be out")
             it.kill()
             for hours in (1, 2):
@@ -249,18 +251,18 @@
                 self.assertEqual(post(again, "a1"), (200, b"ran a1"))  # kept, and not run once more
                 if hours == 1:
                     it.kill()
-            it.keeps.go.set()
+            it.held_worker.go.set()
             self.assertEqual(post(again, "c1"), (200, b"ran c1"))  # its time is not over
             self.assertEqual({name: it.ran[name] for name in ("a1", "b1", "c1")}, {"a1": 1, "b1": 1, "c1": 1})
 
     def test_a_job_that_runs_when_the_dispatcher_is_killed_ends_with_its_workers_word(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             first = it.start()
-            post_behind(first, "a1")
+            post_in_background(first, "a1")
             wait_for(lambda: it.ran["a1"], "the job to be out")
             it.kill()
             second = it.start()
-            threading.Timer(0.2, it.keeps.go.set).start()
+            threading.Timer(0.2, it.held_worker.go.set).start()
             self.assertEqual(post(second, "a1"), (200, b"ran a1"))  # joins
             self.assertEqual(post(second, "a1"), (200, b"ran a1"))  # kept
             self.assertEqual(post(second, "a1", b"y")[0], 422)
@@ -271,22 +273,22 @@
             self.assertEqual(it.ran, {"a1": 1})
 
     def test_a_job_that_was_never_leased_is_placed_anew(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             first = it.start()
-            it.discovery.list("h1", it.keeps.worker.port, lifecycle="Terminating")
+            it.discovery.list("h1", it.held_worker.worker.port, lifecycle="Terminating")
             wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 503, "the worker's drain")
             peer = GearmanPeer(first.at["gearman"])
             handle = peer.ask(Kind.SUBMIT_JOB_BG, b"result-post", b"b1", b"x")
             self.assertIs(handle.kind, Kind.JOB_CREATED)
             it.kill()
             peer.close()
-            it.discovery.list("h1", it.keeps.worker.port)
+            it.discovery.list("h1", it.held_worker.worker.port)
             second = it.start()
             wait_for(lambda: it.ran["b1"], "the job to be out")
             peer = GearmanPeer(second.at["gearman"])
             status = peer.ask(Kind.GET_STATUS_UNIQUE, b"b1")
             self.assertEqual(status.args[1], b"1")
-            it.keeps.go.set()
+            it.held_worker.go.set()
             peer.put(Kind.SUBMIT_JOB, b"result-post", b"b1", b"x")
             self.assertEqual(peer.until(Kind.WORK_COMPLETE).args[1], b"ran b1")
             self.assertIs(peer.ask(Kind.SUBMIT_JOB, b"result-post", b"b1", b"other").kind, Kind.ERROR)
@@ -294,24 +296,24 @@
             self.assertEqual(it.ran, {"b1": 1})
 
     def test_a_leased_job_whose_worker_stays_silent_fails_and_never_runs_again(self) -> None:
-        with installation(silence_ms=1500) as it:
+        with run_installation(silence_ms=1500) as it:
             first = it.start()
-            post_behind(first, "a1")
+            post_in_background(first, "a1")
             wait_for(lambda: it.ran["a1"], "the job to be out")
             it.kill()
             second = it.start()
             self.assertEqual(post(second, "a1")[0], 500)
             self.assertEqual(post(second, "a1")[0], 500)  # kept as failed
-            it.keeps.go.set()
-            wait_for(lambda: it.keeps.statuses, "the late report to be answered")
-            self.assertEqual(it.keeps.statuses, [204])
+            it.held_worker.go.set()
+            wait_for(lambda: it.held_worker.statuses, "the late report to be answered")
+            self.assertEqual(it.held_worker.statuses, [204])
             self.assertEqual(post(second, "a1")[0], 500)  # somebody has been told
             self.assertEqual(it.ran, {"a1": 1})
 
     def test_a_full_disk_turns_durable_jobs_down_and_comes_back_without_a_restart(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             program, pid = it.start(), it.programs[-1].process.pid
-            it.keeps.go.set()
+            it.held_worker.go.set()
             self.assertEqual(post(program, "a1")[0], 200)
             limits = resource.prlimit(pid, resource.RLIMIT_FSIZE, (1, -1))  # no file may grow
             wait_for(lambda: post(program, "a2")[0] == 503, "a turn-down")
@@ -331,9 +333,9 @@
             self.assertTrue(all(count == 1 for count in it.ran.values()), it.ran)
 
     def test_damage_and_a_newer_format_keep_it_from_starting(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             program = it.start()
-            it.keeps.go.set()
+            it.held_worker.go.set()
             for name in ("a1", "a2", "a3"):
                 post(program, name)
             it.kill()
@@ -358,27 +360,27 @@
             self.assertEqual(eiderpin("jobs", "show", it.folder.name, "nobody").returncode, 1)
 
     def test_sigterm_ends_it_when_durable_jobs_have_ended_and_their_answers_stay(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             program = it.start()
             asked: list[tuple[int, bytes]] = []
             thread = threading.Thread(target=lambda: asked.append(post(program, "a1")))
             thread.start()
             wait_for(lambda: it.ran["a1"], "the job to be out")
             program.process.send_signal(signal.SIGTERM)
-            it.keeps.go.set()
+            it.held_worker.go.set()
             self.assertEqual(program.process.wait(20), 0)
             thread.join(20)
             self.assertEqual(asked, [(200, b"ran a1")])
             self.assertEqual(post(it.start(), "a1"), (200, b"ran a1"))
 
     def test_a_worker_that_restarts_and_tells_of_a_lost_job_ends_its_lease(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             program = it.start()
-            post_behind(program, "a1")
+            post_in_background(program, "a1")
             wait_for(lambda: it.ran["a1"], "the job to be out")
             it.kill()
             second = it.start()
-            self.assertEqual(it.keeps.worker.tell("a1", "lost"), 204)
+            self.assertEqual(it.held_worker.worker.tell("a1", "lost"), 204)
             self.assertEqual(post(second, "a1")[0], 500)  # it may have run
             self.assertEqual(it.ran, {"a1": 1})
 
@@ -417,7 +419,7 @@
             peer = GearmanPeer(old.at["gearman"])
             peer.put(Kind.SUBMIT_JOB, b"time-lookup", b"l1", b"x")  # keeps the old one up: it cannot move
             peer.until(Kind.JOB_CREATED)
-            client = post_behind(old, "s1")
+            client = post_in_background(old, "s1")
             wait_for(lambda: it.held.worker.ran["s1"] and it.held.worker.ran["l1"], "the jobs to be out")
             new = it.serving(durable=durable)
             said(old, TOOK)
@@ -438,7 +440,7 @@
         with side() as it, tempfile.TemporaryDirectory() as folder:
             durable = {"directory": folder, "classes": ["result-post"]}
             old = it.serving(durable=durable)
-            post_behind(old, "s1")
+            post_in_background(old, "s1")
             wait_for(lambda: it.held.worker.ran["s1"], "the job to be out")
             new = it.serving(durable=durable)
             said(old, TOOK)
@@ -457,7 +459,7 @@
         self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
 
     def test_a_second_owner_of_the_directory_is_refused_in_one_line(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             it.start()
             with self.assertRaisesRegex(AssertionError, "another process owns it"):
                 Program(it.discovery, durable=it.durable)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,7 +10,7 @@
 
 from eiderpin.jobs import records
 from tests.standins import HttpWorker, http_call, running, wait_for
-from tests.test_crash import installation, post_behind
+from tests.test_crash import post_in_background, run_installation
 from tests.test_edge import raw
 from tests.test_operators import answer, caller
 from tests.test_upgrade import TOOK, said, side
@@ -88,17 +88,17 @@
         other.stop()
 
     def test_a_durable_job_bears_it_after_a_crash(self) -> None:
-        with installation() as it:
+        with run_installation() as it:
             first = it.start()
-            it.discovery.list("h1", it.keeps.worker.port, lifecycle="Terminating")
+            it.discovery.list("h1", it.held_worker.worker.port, lifecycle="Terminating")
             wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 503, "the worker's drain")
-            post_behind(first, "d1")
+            post_in_background(first, "d1")
             wait_for(lambda: first.counters().get("in.requests"), "the job to be taken")
             it.kill()
-            it.discovery.list("h1", it.keeps.worker.port)
+            it.discovery.list("h1", it.held_worker.worker.port)
             it.start()
             wait_for(lambda: it.ran["d1"], "the job to be out")
-            self.assertEqual(keys(it.keeps.worker), ['"d1"'])
+            self.assertEqual(keys(it.held_worker.worker), ['"d1"'])
 
     def test_a_ledger_of_before_is_read(self) -> None:
         new = records.Accepted(1.0, 1, "c", "n", "w", b"/c", b"", 9.0, idempotency_key='"n"')
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,9 +10,9 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule
 from minicheck import Protocol, check_safety
 
-from eiderpin.durable.frames import BadFormat, Record
+from eiderpin.durable.frames import FormatError, Record
 from eiderpin.jobs import records
-from eiderpin.jobs.ledger import BrokenRule, Ledger, MayNotRun, NameTaken, Step, asks_same
+from eiderpin.jobs.ledger import Ledger, LedgerRuleError, MayNotRun, NameTaken, Step, asks_same
 from eiderpin.jobs.records import Accepted, AnyRecord, Ended, Leased, Opened, Released
 
 SINGLE = frozenset({"post"})
@@ -55,7 +55,7 @@
             with self.subTest(text=text, bad=bad):
                 ledger = ledger_of(said)
                 before = list(ledger.snapshot())
-                with self.assertRaisesRegex(BrokenRule, text):
+                with self.assertRaisesRegex(LedgerRuleError, text):
                     ledger.apply(bad)
                 self.assertEqual(list(ledger.snapshot()), before)
 
@@ -116,7 +116,7 @@
 
     def test_records_of_a_newer_program_and_nonsense_are_refused(self) -> None:
         for bad in (Record(9, 1, b""), Record(2, 2, b""), Record(2, 1, b"\xc1"), Record(2, 1, b"\x91\xa1x")):
-            with self.assertRaises(BadFormat):
+            with self.assertRaises(FormatError):
                 records.unpack(bad)
 
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -9,10 +9,10 @@
 from unittest import mock
 
 from eiderpin.durable import frames, reading
-from eiderpin.durable.files import Files, Locked
-from eiderpin.durable.frames import BadFormat, Record, Tail
-from eiderpin.durable.log import Log, NotWritable
-from eiderpin.durable.reading import Damaged
+from eiderpin.durable.files import DirectoryLockedError, Files
+from eiderpin.durable.frames import FormatError, Record, Tail
+from eiderpin.durable.log import Log, LogNotWritableError
+from eiderpin.durable.reading import LogDamagedError
 from tests.disks import Disk
 from tests.standins import wait_for
 
@@ -87,7 +87,7 @@
             (bytes(newer), "its format is 9"), (frames.header(1, 0)[:-1] + b"?", "header is damaged"),
         ]  # fmt: skip
         for data, text in cases:
-            with self.assertRaisesRegex(BadFormat, text):
+            with self.assertRaisesRegex(FormatError, text):
                 frames.read_header(data)
 
 
@@ -126,7 +126,7 @@
     def test_one_owner_at_a_time(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             first = Owner(Files(folder))
-            with self.assertRaisesRegex(Locked, "another process owns it"):
+            with self.assertRaisesRegex(DirectoryLockedError, "another process owns it"):
                 Owner(Files(folder))
             first.append(b"x")
             first.log.close()
@@ -145,11 +145,11 @@
         disk.names_now[name].data[frames.HEADER_SIZE + 30] ^= 4
         got: list[bytes] = []
         text = rf"{name}: damaged at byte \d+: the 1 records before it are good"
-        with self.assertRaisesRegex(Damaged, text):
+        with self.assertRaisesRegex(LogDamagedError, text):
             reading.read(disk, lambda record: got.append(record.body))
         self.assertEqual(got, [b"record 0"])
         before = dict(disk.names_now)
-        with self.assertRaises(Damaged):
+        with self.assertRaises(LogDamagedError):
             Owner(disk)
         self.assertEqual(disk.names_now, before)
 
@@ -163,7 +163,9 @@
         for number in (1, 3):
             with self.subTest(number=number), mock.patch.dict(disk.names_now):
                 del disk.names_now[reading.segment_name(number)]
-                with self.assertRaisesRegex(Damaged, f"{reading.segment_name(number)}: it is missing"):
+                with self.assertRaisesRegex(
+                    LogDamagedError, f"{reading.segment_name(number)}: it is missing"
+                ):
                     bodies(disk)
 
 
@@ -178,15 +180,15 @@
                 disk.room, disk.sync_fails = (5, False) if fault == "full" else (None, True)
                 owner.append(b"lost")
                 self.assertFalse(owner.until_told(b"lost"))
-                with self.assertRaises(NotWritable):
+                with self.assertRaises(LogNotWritableError):
                     owner.append(b"refused")
                 owner.state = [b"good"]
-                owner.log.try_again(owner.snapshot())
+                owner.log.start_rewrite(owner.snapshot())
                 owner.settle()
-                self.assertFalse(owner.log.came_back())
+                self.assertFalse(owner.log.finish_rewrite())
                 disk.room, disk.sync_fails = None, False
-                owner.log.try_again(owner.snapshot())
-                wait_for(owner.log.came_back, "the disk to come back")
+                owner.log.start_rewrite(owner.snapshot())
+                wait_for(owner.log.finish_rewrite, "the disk to come back")
                 owner.append(b"better")
                 while not owner.told.get(b"better"):
                     owner.settle()
@@ -222,7 +224,7 @@
         for i in range(12):
             try:
                 owner.append(b"record %d" % i)
-            except NotWritable:
+            except LogNotWritableError:
                 break
             owner.until_told(b"record %d" % i)
             if i == 6 and owner.log.failed is None:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from eiderpin.durable.frames import BadFormat, Record
+from eiderpin.durable.frames import FormatError, Record
 from eiderpin.store import records
 from eiderpin.store.log import Compacted, EntryLog
 from eiderpin.store.messages import (
@@ -383,10 +383,10 @@
         self.assertEqual([e.term for e in found.entries], [2, 4])
         for bad in (records.pack(Entry(9, 4, 1)), records.pack(Entry(4, 4, 1)), Record(99, 1, b""),
                     Record(2, 2, b"\x92\1\xa0"), Record(2, 1, b"\xc1")):  # fmt: skip
-            with self.assertRaises(BadFormat):
+            with self.assertRaises(FormatError):
                 found.apply(bad)
         found.parts.pop()
-        with self.assertRaises(BadFormat):
+        with self.assertRaises(FormatError):
             _ = found.snapshot
 
 
--- a/tests/test_shutdown_durable.py
+++ b/tests/test_shutdown_durable.py
@@ -14,7 +14,7 @@
 
 from eiderpin.net.gearman import Kind
 from tests.standins import PATIENCE, SETTINGS, GearmanPeer, Program, http_call, wait_for
-from tests.test_crash import Installation, installation, post
+from tests.test_crash import Installation, post, run_installation
 from tests.test_shutdown_deadline import earliest_kill
 
 
@@ -60,7 +60,7 @@
     def test_waiting_clients_are_answered_and_the_jobs_continue(self) -> None:
         """A job that continues after the restart has no answer yet, so its clients would get none before
         SIGKILL."""
-        with installation() as deployment:
+        with run_installation() as deployment:
             program = deployment.start()
             clients = WaitingClients(deployment, program)
             clients.post("a1")
@@ -74,7 +74,7 @@
             self.assertIs(gearman.until(Kind.WORK_FAIL, Kind.WORK_COMPLETE).kind, Kind.WORK_FAIL)
             gearman.close()
             second = deployment.start()
-            deployment.keeps.go.set()
+            deployment.held_worker.go.set()
             self.assertEqual(post(second, "a1"), (200, b"ran a1"))
             self.assertEqual(
                 {name: deployment.ran[name] for name in ("a1", "a2", "g1")}, {"a1": 1, "a2": 1, "g1": 1}
@@ -83,13 +83,13 @@
     def test_waiting_clients_are_answered_while_the_disk_cannot_be_written(self) -> None:
         """The end of a job has to be on disk before its client is answered. Where that write fails, the
         client must still get an answer before SIGKILL."""
-        with installation() as deployment:
+        with run_installation() as deployment:
             program = deployment.start()
             clients = WaitingClients(deployment, program)
             clients.post("a1")
             limits = resource.prlimit(program.process.pid, resource.RLIMIT_FSIZE, (1, -1))
-            deployment.keeps.go.set()
-            wait_for(lambda: deployment.keeps.statuses, "its worker's call-back to be answered")
+            deployment.held_worker.go.set()
+            wait_for(lambda: deployment.held_worker.statuses, "its worker's call-back to be answered")
             clients.stop_dispatcher()
             del limits
             self.assertIn(clients.statuses["a1"], (500, 503))
