--- a/eiderpin/cli/jobs.py
+++ b/eiderpin/cli/jobs.py
@@ -12,9 +12,9 @@
 
 from eiderpin.durable import reading
 from eiderpin.durable.files import Files
-from eiderpin.durable.frames import BadFormat, Record
+from eiderpin.durable.frames import FormatError, Record
 from eiderpin.jobs import records
-from eiderpin.jobs.ledger import BrokenRule, Job, Ledger
+from eiderpin.jobs.ledger import Job, Ledger, LedgerRuleError
 
 # A running dispatcher may replace its files by a checkpoint while they are read; reading then starts again.
 MAX_READ_ATTEMPTS = 5
@@ -33,7 +33,7 @@
     def __init__(self, directory: str) -> None:
         """Read all records of the directory, as far as possible; raises nothing for what cannot be read."""
         self.ledger = Ledger()
-        self.scan_result = reading.Found()
+        self.scan_result = reading.LogSummary()
         self.read_error = ""
         self.record_counts: Counter[str] = Counter()
         for attempts_left in reversed(range(MAX_READ_ATTEMPTS)):
@@ -45,12 +45,12 @@
                     time.sleep(0.05)
                     continue
                 self.read_error = f"{error.filename or error}: no such file or directory"
-            except (reading.Damaged, BadFormat, BrokenRule, OSError) as error:
+            except (reading.LogDamagedError, FormatError, LedgerRuleError, OSError) as error:
                 self.read_error = str(error)
             return
 
     def apply(self, record: Record) -> None:
-        """Count a record and apply it to the ledger. Raises `BadFormat` and `BrokenRule`."""
+        """Count a record and apply it to the ledger. Raises `FormatError` and `LedgerRuleError`."""
         unpacked = records.unpack(record)
         self.record_counts[type(unpacked).__name__] += 1
         self.ledger.apply(unpacked)
