--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -25,19 +25,19 @@
 
 from benchmarks import store_rig
 from benchmarks.store_rig import Cluster
-from eiderpin.store.client import Failed
-from eiderpin.store.names import PRESENT
+from eiderpin.store.client import StoreRequestError
+from eiderpin.store.names import LIVE_MEMBERS
 
 WITHIN = 60.0  # s for all to be there again
 
 
 def lives(it: Cluster) -> dict[str, str]:
     """Who is there, by the store: name to what tells one life from the next."""
-    rows = it.store_client(10.0).ask("range", 0.3, prefix=PRESENT, most=1000)["documents"]
+    rows = it.store_client(10.0).ask("range", 0.3, prefix=LIVE_MEMBERS, most=1000)["documents"]
     found = {}
     for row in rows:
         said = orjson.loads(base64.b64decode(row["value"]))
-        found[row["name"].removeprefix(PRESENT)] = str(said.get("incarnation") or said["began"])
+        found[row["name"].removeprefix(LIVE_MEMBERS)] = str(said.get("incarnation") or said["began"])
     return found
 
 
@@ -56,7 +56,7 @@
             now = lives(it)
             if set(now) >= set(it.all) and all(now[n] != before[n] for n in names):
                 return (time.monotonic() - begun) * 1000.0
-        except Failed:
+        except StoreRequestError:
             pass
         time.sleep(0.05)
     return None
--- a/benchmarks/scale/compare.py
+++ b/benchmarks/scale/compare.py
@@ -14,7 +14,7 @@
 from benchmarks.store import memory_mb
 from benchmarks.store_rig import Cluster, Process
 from eiderpin.cli.config import publish_config
-from eiderpin.store.client import Failed
+from eiderpin.store.client import StoreRequestError
 
 LIKE = 0.15  # by which hollow ones may differ from real ones, in what members use and send
 WINDOW = 20.0  # s
@@ -68,7 +68,7 @@
             if waiting[-1].status()["observer"]["standing"] == "known":
                 waiting.pop()
                 continue
-        except Failed:
+        except StoreRequestError:
             pass
         time.sleep(0.05)
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -27,9 +27,9 @@
 from eiderpin.fleet.subscription import Subscription
 from eiderpin.net.loop import READ, Connection, Loop
 from eiderpin.parts.observer import MemberEndpoint
-from eiderpin.store.names import CURRENT
+from eiderpin.store.names import CURRENT_CONFIG
 from eiderpin.store.observer_protocol import ConfigOutcome, Report
-from eiderpin.store.observer_registry import version_of
+from eiderpin.store.observer_registry import parse_config_version
 from eiderpin.store.state import Event
 
 LAG_EVERY = 20.0  # ms between looks at how late the loop runs
@@ -106,10 +106,10 @@
             self.process.tell(went_back=self.name, position=position, highest=self.highest)
         self.highest = max(self.highest, position)
         for event in events:
-            if event.name != CURRENT or event.value is None:
+            if event.name != CURRENT_CONFIG or event.value is None:
                 self.process.note_applied(f"{event.name}@{event.revision}")
                 continue
-            version = version_of(event.value)
+            version = parse_config_version(event.value)
             wrong = find_config_error(event.value.partition(b"\n")[2])
             self.outcome = ConfigOutcome.REJECTED if wrong else ConfigOutcome.IN_FORCE
             if version < self.version:
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -29,7 +29,7 @@
 from benchmarks.store import memory_mb
 from eiderpin.cli.config import publish_config
 from eiderpin.store.admission import SNAPSHOTS_PER_SECOND
-from eiderpin.store.client import Failed
+from eiderpin.store.client import StoreRequestError
 from eiderpin.store.names import OBSERVERS
 from eiderpin.store.presence import read as read_presence
 
@@ -162,7 +162,7 @@
                 with contextlib.closing(self.fleet.cluster.store_client(2.0)) as store:
                     version = publish_config(store, text)
                 break
-            except Failed as error:
+            except StoreRequestError as error:
                 if time.monotonic() > asked + CHANGE_WITHIN:
                     self.broken.append(f"no member took a change within {CHANGE_WITHIN:g} s: {error}")
                     return
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -25,7 +25,7 @@
 from benchmarks.durable import bare_loop, cpu, serve_posts, start_workers
 from benchmarks.rig import free_port
 from benchmarks.store_rig import Cluster, Process
-from eiderpin.store.client import Failed, StoreClient
+from eiderpin.store.client import StoreClient, StoreRequestError
 from eiderpin.store.member import TICK
 from eiderpin.store.raft import ELECTION
 
@@ -46,7 +46,7 @@
                 begun = time.perf_counter()
                 store.put(f"c{number}/{i % 50}", VALUE)
                 times.append((time.perf_counter() - begun) * 1000)
-        except Failed as error:
+        except StoreRequestError as error:
             failed.append(str(error))
 
     threads = [threading.Thread(target=client, args=(n,)) for n in range(clients)]
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -24,7 +24,7 @@
 from benchmarks.rig import settings
 from benchmarks.store_rig import Cluster
 from eiderpin.cli.config import find_config_error, publish_config, read_config_version, read_current_config
-from eiderpin.store.client import Failed, StoreClient
+from eiderpin.store.client import StoreClient, StoreRequestError
 
 WRITERS, RAISERS, WATCHERS = 4, 3, 2
 
@@ -65,7 +65,7 @@
                     if (int(value), said["revision"]) != (count, revision):
                         now = f"{value!r} at {said['revision']}"
                         self.broken.append(f"{name}: {now} after {count} at {revision}")
-            except Failed as error:
+            except StoreRequestError as error:
                 self.unknown += 1
                 if error.kind in ("bad", "refused", "differs", "absent"):
                     self.broken.append(f"{name}: {error}")
@@ -79,13 +79,13 @@
                 try:
                     value, said = store.get("counter")
                     now, revision = int(value), int(said["revision"])
-                except Failed as error:
+                except StoreRequestError as error:
                     if error.kind != "absent":
                         raise
                     now, revision = 0, 0
                 store.put("counter", b"%d" % (now + 1), revision)
                 self.raised[number] += 1
-            except Failed as error:
+            except StoreRequestError as error:
                 if error.kind == "differs":
                     continue
                 self.unknown += error.kind == "unknown"
@@ -102,7 +102,7 @@
             try:
                 self.versions = max(self.versions, publish_config(store, text))
                 self.installed += 1
-            except Failed as error:
+            except StoreRequestError as error:
                 self.maybe_installed += error.kind == "unknown"
                 if error.kind in ("bad", "refused"):
                     self.broken.append(f"configuration: {error}")
@@ -113,7 +113,7 @@
         try:
             for event in self.store_client().watch("w/", 0):
                 self.seen[number].append((event["revision"], event["name"], event["value"]))
-        except Failed as error:
+        except StoreRequestError as error:
             self.watched[number] = error.kind
 
     def trouble(self) -> None:
@@ -135,7 +135,7 @@
                 try:
                     self.store_client(1.0).ask("transfer", name=process.name)
                     self.transfers += 1
-                except Failed:
+                except StoreRequestError:
                     continue
 
     def play(self) -> dict[str, Any]:
--- a/benchmarks/store_rig.py
+++ b/benchmarks/store_rig.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from benchmarks.rig import ROOT, free_port, settings
-from eiderpin.store.client import Failed, StoreClient
+from eiderpin.store.client import StoreClient, StoreRequestError
 
 
 class Process:
@@ -59,8 +59,8 @@
         return self.process.wait()
 
     def status(self) -> dict[str, Any]:
-        """Raises `Failed`."""
-        return StoreClient([self.door], 1.0)._once(self.door, {"op": "status"}, 2.0)
+        """Raises `StoreRequestError`."""
+        return StoreClient([self.door], 1.0)._call_once(self.door, {"op": "status"}, 2.0)
 
     def log(self) -> str:
         return self.errors.read_text() if self.errors.exists() else ""
@@ -113,7 +113,7 @@
             if process.alive:
                 try:
                     found[name] = process.status()
-                except Failed:
+                except StoreRequestError:
                     continue
         return found
 
--- a/eiderpin/cli/config.py
+++ b/eiderpin/cli/config.py
@@ -16,8 +16,8 @@
 
 from eiderpin.cli.store import door, fleet_view, store_client
 from eiderpin.configuration import ConfigError, read_shared_config
-from eiderpin.store.client import Failed, StoreClient
-from eiderpin.store.names import CURRENT, IN_FORCE, OBSERVERS, PRESENT, VERSIONS
+from eiderpin.store.client import StoreClient, StoreRequestError
+from eiderpin.store.names import CONFIG_VERSIONS, CURRENT_CONFIG, IN_FORCE, LIVE_MEMBERS, OBSERVERS
 
 STAND_IN = {"name": "x", "listen": "127.0.0.1:0", "workers": []}  # for what is each dispatcher's own
 
@@ -38,10 +38,10 @@
 
 
 def read_current_config(store: StoreClient) -> tuple[int, bytes, int]:
-    """Version, text and the document's revision; zeros where there is none. Raises `Failed`."""
+    """Version, text and the document's revision; zeros where there is none. Raises `StoreRequestError`."""
     try:
-        value, said = store.get(CURRENT)
-    except Failed as error:
+        value, said = store.get(CURRENT_CONFIG)
+    except StoreRequestError as error:
         if error.kind != "absent":
             raise
         return 0, b"", 0
@@ -50,7 +50,7 @@
 
 
 def read_config_version(store: StoreClient, number: int) -> bytes:
-    return store.get(f"{VERSIONS}{number:08d}")[0]
+    return store.get(f"{CONFIG_VERSIONS}{number:08d}")[0]
 
 
 def publish_config(store: StoreClient, text: bytes) -> int:
@@ -62,8 +62,9 @@
         return {"name": name, "value": base64.b64encode(value).decode()}
 
     store.change(
-        "txn", puts=[row(CURRENT, b"%d\n" % number + text), row(f"{VERSIONS}{number:08d}", text)],
-        compares=[{"name": CURRENT, "revision": revision}],
+        "txn",
+        puts=[row(CURRENT_CONFIG, b"%d\n" % number + text), row(f"{CONFIG_VERSIONS}{number:08d}", text)],
+        compares=[{"name": CURRENT_CONFIG, "revision": revision}],
     )  # fmt: skip
     return number
 
@@ -104,15 +105,15 @@
             return
         now, text, _ = read_current_config(s)
         shown = fleet_view()
-        members = shown.documents(s, PRESENT)
-        observers = shown.live_observers(shown.documents(s, OBSERVERS), OBSERVERS)
-        view = shown.config_view(now, members, observers, shown.documents(s, IN_FORCE))
+        members = shown.list_documents(s, LIVE_MEMBERS)
+        observers = shown.live_observers(shown.list_documents(s, OBSERVERS), OBSERVERS)
+        view = shown.config_view(now, members, observers, shown.list_documents(s, IN_FORCE))
     sys.stdout.buffer.write(text)
     sys.stdout.flush()
     click.echo(f"version {now}" if now else "no configuration is shared", err=True)
     for document in members:
         config = json.loads(document.value)["config"]
-        click.echo(f"{document.name.removeprefix(PRESENT)}: {config or 'none taken'}", err=True)
+        click.echo(f"{document.name.removeprefix(LIVE_MEMBERS)}: {config or 'none taken'}", err=True)
     if observers:
         _show_in_force(view)
 
@@ -158,7 +159,7 @@
         before, _, _ = read_current_config(s)
         back = number if number is not None else before - 1
         if back < 1:
-            raise Failed("refused", "there is no earlier version")
+            raise StoreRequestError("refused", "there is no earlier version")
         click.echo(
             f"version {publish_config(s, read_config_version(s, back))}, which is version {back} again"
         )
--- a/eiderpin/cli/store.py
+++ b/eiderpin/cli/store.py
@@ -15,7 +15,7 @@
 
 import click
 
-from eiderpin.store.client import Failed, StoreClient
+from eiderpin.store.client import StoreClient, StoreRequestError
 
 F = TypeVar("F", bound=Callable[..., Any])
 CODES = {"absent": 1, "differs": 1, "compacted": 1, "bad": 2, "no-leader": 3, "unknown": 4, "refused": 5,
@@ -26,12 +26,12 @@
 def store_client(doors: str, within: float = 10.0) -> Iterator[StoreClient]:
     """Ends the command with one line and a code where the store says no."""
     store = StoreClient([d.strip() for d in doors.split(",") if d.strip()], within)
-    if not store.doors:
+    if not store.addresses:
         raise click.UsageError("which door? --door HOST:PORT, or EIDERPIN_DOOR")
     try:
         yield store
         store.close()
-    except Failed as error:
+    except StoreRequestError as error:
         click.echo(f"eiderpin: {error}", err=True)
         sys.exit(CODES[error.kind])
 
@@ -100,7 +100,9 @@
     with store_client(doors) as s:
         said = s.ask("status")
         if "observer" in said:
-            raise Failed("no-leader", "this dispatcher is no member of the store: ask at a member's door")
+            raise StoreRequestError(
+                "no-leader", "this dispatcher is no member of the store: ask at a member's door"
+            )
         _members(said)
 
 
--- a/eiderpin/cli/workers.py
+++ b/eiderpin/cli/workers.py
@@ -10,9 +10,9 @@
 
 from eiderpin.cli.store import door, fleet_view, store_client
 from eiderpin.store import orders
-from eiderpin.store.client import Failed, StoreClient
-from eiderpin.store.names import OBSERVERS, PRESENT
-from eiderpin.store.orders import Order
+from eiderpin.store.client import StoreClient, StoreRequestError
+from eiderpin.store.names import LIVE_MEMBERS, OBSERVERS
+from eiderpin.store.orders import WorkerOverride
 
 TRIES = 20
 
@@ -22,23 +22,25 @@
     """Orders for workers, followed by every dispatcher of the store; exit codes as of `eiderpin store`."""
 
 
-def change(store: StoreClient, name: str, **changes: object) -> Order:
-    """Change a part of a worker's order, whoever else changes another part meanwhile. Raises `Failed`."""
+def change(store: StoreClient, name: str, **changes: object) -> WorkerOverride:
+    """Change a part of a worker's order, whoever else changes another part meanwhile.
+
+    Raises `StoreRequestError`."""
     for _ in range(TRIES):
-        order, revision = Order(), 0
+        order, revision = WorkerOverride(), 0
         try:
             value, said = store.get(orders.PREFIX + name)
             order, revision = orders.read(value), said["revision"]
-        except Failed as error:
+        except StoreRequestError as error:
             if error.kind != "absent":
                 raise
         except ValueError as error:
-            raise Failed("refused", f"the order that stands makes no sense: {error}") from None
+            raise StoreRequestError("refused", f"the order that stands makes no sense: {error}") from None
         order = replace(order, **changes)  # type: ignore[arg-type]
         try:
             orders.read(order.pack())
         except ValueError as error:
-            raise Failed("bad", str(error)) from None
+            raise StoreRequestError("bad", str(error)) from None
         try:
             if order.cordon or order.slots is not None:
                 store.put(orders.PREFIX + name, order.pack(), revision)
@@ -46,10 +48,10 @@
                 store.change("txn", deletes=[orders.PREFIX + name],
                              compares=[{"name": orders.PREFIX + name, "revision": revision}])  # fmt: skip
             return order
-        except Failed as error:
+        except StoreRequestError as error:
             if error.kind != "differs":
                 raise
-    raise Failed("refused", f"the order for {name} changes all the time")
+    raise StoreRequestError("refused", f"the order for {name} changes all the time")
 
 
 @workers.command()
@@ -107,10 +109,10 @@
     """The dispatchers that are there."""
     with store_client(doors) as s:
         shown = fleet_view()
-        members = shown.documents(s, PRESENT)
-        observers = shown.live_observers(shown.documents(s, OBSERVERS), OBSERVERS)
+        members = shown.list_documents(s, LIVE_MEMBERS)
+        observers = shown.live_observers(shown.list_documents(s, OBSERVERS), OBSERVERS)
     for document in members:
-        click.echo(_dispatcher(document.name.removeprefix(PRESENT), document.value, "member"))
+        click.echo(_dispatcher(document.name.removeprefix(LIVE_MEMBERS), document.value, "member"))
     for name, live in observers.items():
         click.echo(_dispatcher(name, live.entry.about or b"{}", f"observer of {live.member}"))
 
--- a/eiderpin/fleet/followed_documents.py
+++ b/eiderpin/fleet/followed_documents.py
@@ -10,7 +10,7 @@
 from eiderpin.core.counters import Counters
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.store import orders
-from eiderpin.store.names import CURRENT, WORKER_ORDERS
+from eiderpin.store.names import CURRENT_CONFIG, WORKER_OVERRIDES
 from eiderpin.store.observer_protocol import ConfigOutcome
 
 
@@ -59,14 +59,14 @@
         self.core, self.counters, self.take_shared = core, counters, take_shared
         self.say, self.warn = say, warn
         self.config = AppliedConfig()
-        self.orders = orders.Orders()
+        self.orders = orders.StoredOverrides()
         core.overrides = self.orders
 
     def take(self, name: str, value: bytes | None) -> None:
         """The document of this name has changed; None: it is gone."""
-        if name.startswith(WORKER_ORDERS):
-            self.take_order(name.removeprefix(WORKER_ORDERS), value)
-        elif name == CURRENT:
+        if name.startswith(WORKER_OVERRIDES):
+            self.take_order(name.removeprefix(WORKER_OVERRIDES), value)
+        elif name == CURRENT_CONFIG:
             self.take_config(value)
 
     def take_order(self, worker: str, value: bytes | None) -> None:
@@ -76,9 +76,9 @@
             try:
                 order = orders.read(value)
             except ValueError as error:
-                self.warn(f"store: {WORKER_ORDERS}{worker} is not followed: {error}")
+                self.warn(f"store: {WORKER_OVERRIDES}{worker} is not followed: {error}")
                 return
-        if self.orders.take(worker, order):
+        if self.orders.set_override(worker, order):
             self.counters.add("store.orders")
             self.say(f"store: order for worker {worker}: {order if order is not None else 'taken back'}")
             self.core.reapply_overrides([worker])
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -24,7 +24,7 @@
 from eiderpin.jobs.ledger import fingerprint
 from eiderpin.store import state
 from eiderpin.store.host import StoreHost
-from eiderpin.store.names import PRESENT
+from eiderpin.store.names import LIVE_MEMBERS
 
 PREFIX = "outcomes/"
 BUCKET = 30_000.0  # ms for which outcomes go under one lease
@@ -128,7 +128,7 @@
         name, store = by.rpartition("/")[0], self.host.member.store
         document = store.get(incarnation.PREFIX + name)
         latest = document is not None and incarnation.holds(by, self.life.generation, document.revision)
-        return latest and store.get(PRESENT + name) is not None
+        return latest and store.get(LIVE_MEMBERS + name) is not None
 
     def stored_answer(self, request: Request) -> Answer | None:
         """A job's kept answer; None: there is none."""
--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -17,7 +17,7 @@
 from eiderpin.fleet.incarnation import ClaimState, Incarnation
 from eiderpin.store import hints, presence
 from eiderpin.store.host import StoreHost
-from eiderpin.store.names import CURRENT, OBSERVERS, PRESENT, WORKER_ORDERS
+from eiderpin.store.names import CURRENT_CONFIG, LIVE_MEMBERS, OBSERVERS, WORKER_OVERRIDES
 from eiderpin.store.presence import LiveDispatchers
 from eiderpin.store.raft import Refused
 from eiderpin.store.state import Answer, Compacted, Event, Grant, Keep, Operation, Put, Transaction
@@ -54,12 +54,12 @@
         self.told: dict[str, Any] = {}
         self.busy = False  # a command of ours is on its way
         self.follow(self.incarnation.document, lambda rest, value: None if rest else self.named())
-        self.follow(WORKER_ORDERS, self.documents.take_order)
-        # `CURRENT` itself is what holds; what is named below it is nobody's.
-        self.follow(CURRENT, lambda rest, value: None if rest else self.documents.take_config(value))
+        self.follow(WORKER_OVERRIDES, self.documents.take_order)
+        # `CURRENT_CONFIG` itself is what holds; what is named below it is nobody's.
+        self.follow(CURRENT_CONFIG, lambda rest, value: None if rest else self.documents.take_config(value))
         self.follow(hints.PREFIX, self.hinted)
         if host.options.listen is not None:
-            self.follow(PRESENT, self.met)
+            self.follow(LIVE_MEMBERS, self.met)
             self.follow(OBSERVERS, self.announced)
         self.beat()
 
@@ -168,7 +168,7 @@
 
     def met(self, name: str, value: bytes | None) -> None:
         """A dispatcher that is a member has come or gone."""
-        self.live.member(name, value is not None)
+        self.live.set_member(name, value is not None)
         self.share()
 
     def announced(self, member: str, value: bytes | None) -> None:
@@ -178,12 +178,12 @@
         except msgspec.MsgspecError as error:
             self.warn(f"store: {OBSERVERS}{member} is not followed: {error}")
             return
-        self.live.announced(member, entries)
+        self.live.set_announced(member, entries)
         self.share()
 
     def share(self) -> None:
         """Share the workers with all dispatchers that are live."""
-        place = self.live.place(self.name)
+        place = self.live.placement(self.name)
         if place is None or not self.core.share(*place):
             return
         names = self.live.names()
@@ -261,7 +261,7 @@
             elif answer.ok:
                 self.told = about
 
-        put = Put(f"{PRESENT}{self.name}", orjson.dumps(about), self.lease)
+        put = Put(f"{LIVE_MEMBERS}{self.name}", orjson.dumps(about), self.lease)
         if not self.is_fenced:
             self.submit(self.incarnation.guarded(Transaction([put])), done)
 
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -186,7 +186,7 @@
                 raise ConfigError(f"store.directory {options.folder}: {error}") from None
             self.deadlines.set(self.clock.now() + STORE_EVERY, lambda: self.keep_store(options))
             if self.management is not None:
-                self.management.extensions["store"] = door.Elsewhere()
+                self.management.extensions["store"] = door.PeerStoreApi()
             if options.outcomes:
                 from eiderpin.jobs import elsewhere
                 from eiderpin.parts import durable as job_options
@@ -196,7 +196,7 @@
         except ValueError as error:
             raise ConfigError(str(error)) from None
         if self.management is not None:
-            self.management.extensions["store"] = door.StoreDoor(self.store)
+            self.management.extensions["store"] = door.StoreApi(self.store)
         self.shared_state = SharedState(
             self.store, self.core, options.name, self.about, self.take_shared, self.say, warn
         )
--- a/eiderpin/store/backup.py
+++ b/eiderpin/store/backup.py
@@ -49,7 +49,7 @@
         raise ValueError(f"{path}: it is damaged or cut off")
     image = zstandard.ZstdDecompressor().decompress(packed, max_output_size=size)
     try:
-        Store.of(image)
+        Store.from_image(image)
     except msgspec.MsgspecError as error:
         raise ValueError(f"{path}: it makes no sense: {error}") from None
     return image, max(1, generation)
@@ -67,7 +67,7 @@
     if found.born is None:
         raise ValueError(f"{folder}: it is no member's directory")
     plain = zstandard.ZstdDecompressor().decompress(snapshot.data) if snapshot.data else b""
-    store = Store.of(plain)
+    store = Store.from_image(plain)
     for entry in found.entries:
         if entry.kind == EntryKind.COMMAND:
             store.apply(unpack(entry.data))
--- a/eiderpin/store/client.py
+++ b/eiderpin/store/client.py
@@ -15,7 +15,7 @@
 ATTEMPT = 3.0  # ... of which one takes so long at most
 
 
-class Failed(Exception):
+class StoreRequestError(Exception):
     """The store says no; `kind` is one of `door.KINDS`, or `unreachable`."""
 
     def __init__(self, kind: str, error: str) -> None:
@@ -30,26 +30,26 @@
 
     def __init__(self, doors: list[str], within: float = 10.0) -> None:
         """Nothing is sent yet."""
-        self.doors, self.within = list(doors), within
+        self.addresses, self.within = list(doors), within
         self.client, self.number = "", 0
         self.generation = 0  # of the store that the last watch or snapshot was of; 0: none yet
 
     def ask(self, op: str, attempt: float = ATTEMPT, **said: Any) -> dict[str, Any]:
-        """One question that may be asked twice without harm. Raises `Failed`."""
+        """One question that may be asked twice without harm. Raises `StoreRequestError`."""
         end = time.monotonic() + self.within
         while True:
             left = end - time.monotonic()
             try:
-                return self._once(self.doors[0], {"op": op, **said}, max(0.2, min(left, attempt)))
-            except Failed as error:
+                return self._call_once(self.addresses[0], {"op": op, **said}, max(0.2, min(left, attempt)))
+            except StoreRequestError as error:
                 if error.kind not in ("no-leader", "unknown", "unreachable") or time.monotonic() > end:
                     raise
-                self.doors.append(self.doors.pop(0))
+                self.addresses.append(self.addresses.pop(0))
                 time.sleep(AGAIN)
 
     def change(self, op: str, **said: Any) -> dict[str, Any]:
-        """One change, carried out once however often it had to be asked for. Raises `Failed`; `unknown`:
-        nobody has said whether it was carried out."""
+        """One change, carried out once however often it had to be asked for. Raises `StoreRequestError`;
+        `unknown`: nobody has said whether it was carried out."""
         if not self.client:
             self.client = secrets.token_hex(12)
             self.ask("open", client=self.client)
@@ -63,14 +63,14 @@
         return self.change("txn", puts=[row], compares=compares)
 
     def get(self, name: str, stale: bool = False) -> tuple[bytes, dict[str, Any]]:
-        """A document's value, and its other fields. Raises `Failed` (`absent`)."""
+        """A document's value, and its other fields. Raises `StoreRequestError` (`absent`)."""
         said = self.ask("get", name=name, stale=stale)["document"]
         return base64.b64decode(said["value"]), said
 
     def watch(self, prefix: str, after: int | None = None) -> Iterator[dict[str, Any]]:
         """Events from after revision `after` on (None: from now on), each once, at whichever member answers.
-        Raises `Failed` (`compacted`: begin anew; also where the store was restored and its revisions went
-        back)."""
+        Raises `StoreRequestError` (`compacted`: begin anew; also where the store was restored and its
+        revisions went back)."""
         last = after
         while True:
             asked: dict[str, Any] = {"op": "watch", "prefix": prefix}
@@ -79,19 +79,19 @@
             if self.generation:
                 asked["generation"] = self.generation
             try:
-                for said in self._lines(self.doors[0], asked):
+                for said in self._lines(self.addresses[0], asked):
                     if not said["ok"]:
-                        raise Failed(said["kind"], said["error"])
+                        raise StoreRequestError(said["kind"], said["error"])
                     self.generation = said.get("generation", self.generation)
                     # A revision's events come in one line, so none of them can be cut off from the others.
                     yield from said.get("events", ())
                     last = said["revision"]
-            except Failed as error:
+            except StoreRequestError as error:
                 if error.kind == "compacted":
                     raise
             except OSError:
                 pass
-            self.doors.append(self.doors.pop(0))
+            self.addresses.append(self.addresses.pop(0))
             time.sleep(AGAIN)
 
     def close(self) -> None:
@@ -101,22 +101,24 @@
             self.client = ""
 
     def snapshot(self) -> bytes:
-        """The whole image. Raises `Failed`."""
-        for _ in range(2 * len(self.doors)):
+        """The whole image. Raises `StoreRequestError`."""
+        for _ in range(2 * len(self.addresses)):
             try:
-                sock = self._send(self.doors[0], {"op": "snapshot"}, self.within)
+                sock = self._send(self.addresses[0], {"op": "snapshot"}, self.within)
                 with sock, sock.makefile("rb") as file:
                     head = orjson.loads(file.readline() or b"{}")
                     if not head.get("ok"):
-                        raise Failed(head.get("kind", "unreachable"), head.get("error", "it closed"))
+                        raise StoreRequestError(
+                            head.get("kind", "unreachable"), head.get("error", "it closed")
+                        )
                     image = b"".join(base64.b64decode(line) for line in file)
                 if len(image) == head["bytes"]:
                     self.generation = head.get("generation", 1)
                     return image
             except OSError:
                 pass
-            self.doors.append(self.doors.pop(0))
-        raise Failed("unreachable", f"no whole snapshot from {', '.join(self.doors)}")
+            self.addresses.append(self.addresses.pop(0))
+        raise StoreRequestError("unreachable", f"no whole snapshot from {', '.join(self.addresses)}")
 
     def _send(self, door: str, said: dict[str, Any], timeout: float | None) -> socket.socket:
         host, _, port = door.rpartition(":")
@@ -125,20 +127,20 @@
         sock.sendall(b"store " + orjson.dumps(said) + b"\n")
         return sock
 
-    def _once(self, door: str, said: dict[str, Any], timeout: float) -> dict[str, Any]:
+    def _call_once(self, door: str, said: dict[str, Any], timeout: float) -> dict[str, Any]:
         said = {**said, "within_ms": min(60_000.0, timeout * 1000)}
         try:
             with self._send(door, said, timeout + 1.0) as sock, sock.makefile("rb") as file:
                 line = file.readline()
         except OSError as error:
-            raise Failed("unreachable", f"{door}: {error}") from None
+            raise StoreRequestError("unreachable", f"{door}: {error}") from None
         if line.startswith(b"fail"):
-            raise Failed("bad", f"{door}: {line.decode().strip()} (is the store on there?)")
+            raise StoreRequestError("bad", f"{door}: {line.decode().strip()} (is the store on there?)")
         if not line.endswith(b"\n"):
-            raise Failed("unreachable", f"{door}: it closed without an answer")
+            raise StoreRequestError("unreachable", f"{door}: it closed without an answer")
         got: dict[str, Any] = orjson.loads(line)
         if not got["ok"]:
-            raise Failed(got["kind"], got["error"])
+            raise StoreRequestError(got["kind"], got["error"])
         return got
 
     def _lines(self, door: str, said: dict[str, Any]) -> Iterator[dict[str, Any]]:
--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -45,7 +45,7 @@
     """The call makes no sense; the message names the field."""
 
 
-class Elsewhere:
+class PeerStoreApi:
     """While the process before us is still our member."""
 
     max_line_bytes = 1 << 20
@@ -55,7 +55,7 @@
         fail(caller, "no-leader", "the process beside this one is the member still: ask at its door")
 
 
-class StoreDoor:
+class StoreApi:
     """The store's calls at a member's management address."""
 
     max_line_bytes = 1 << 20
@@ -151,7 +151,7 @@
 
         def then() -> None:
             store = self.host.member.store
-            events = [e for e in store.since(store.oldest, name) if e.name == name]
+            events = [e for e in store.events_since(store.oldest, name) if e.name == name]
             size = 0
             rows: list[dict[str, Any]] = []
             for event in reversed(events):
--- a/eiderpin/store/fleet_view.py
+++ b/eiderpin/store/fleet_view.py
@@ -35,8 +35,8 @@
     lagging: list[Lagging] = field(default_factory=list)
 
 
-def documents(store: StoreClient, prefix: str) -> list[Document]:
-    """All documents whose names begin so. Raises `Failed`."""
+def list_documents(store: StoreClient, prefix: str) -> list[Document]:
+    """All documents whose names begin so. Raises `StoreRequestError`."""
     found: list[Document] = []
     while True:
         after = found[-1].name if found else ""
--- a/eiderpin/store/member.py
+++ b/eiderpin/store/member.py
@@ -116,7 +116,7 @@
         self.snapshot_every, self.trailing, self.history = snapshot_every, trailing, history
         snapshot = restored.snapshot
         self.raft = raft(born.name, restored.hard, snapshot, restored.entries, rng, born.disk)
-        self.store = Store.of(_plain(snapshot.data), history)
+        self.store = Store.from_image(_plain(snapshot.data), history)
         self.applied = snapshot.index
         self.failed = False  # our disk takes nothing
         self.bytes = 0  # applied since the last snapshot
@@ -382,7 +382,7 @@
         if self.store.revision < watch.next:
             return
         try:
-            events = self.store.since(watch.next, watch.prefix)
+            events = self.store.events_since(watch.next, watch.prefix)
         except Compacted:
             self.unwatch(watch)
             watch.tell(None)
@@ -489,7 +489,7 @@
 
     def _install(self, snapshot: Snapshot) -> None:
         """A leader's snapshot has replaced our log."""
-        self.store = Store.of(_plain(snapshot.data), self.history)
+        self.store = Store.from_image(_plain(snapshot.data), self.history)
         self.applied, self.bytes = snapshot.index, 0
         for (client, number), waiting in list(self._commands.items()):
             session = self.store.sessions.get(client)
--- a/eiderpin/store/observer_registry.py
+++ b/eiderpin/store/observer_registry.py
@@ -10,13 +10,13 @@
 
 from eiderpin.store import in_force, presence
 from eiderpin.store.in_force import InForceCounts
-from eiderpin.store.names import CURRENT, IN_FORCE, OBSERVERS, PRESENT
+from eiderpin.store.names import CURRENT_CONFIG, IN_FORCE, LIVE_MEMBERS, OBSERVERS
 from eiderpin.store.observer_protocol import Announced, Fenced, Fleet, Report, Subscribe
 from eiderpin.store.observer_sessions import Effect, Send
 from eiderpin.store.presence import FoldedPresence, LiveDispatchers, ObserverEntry, ServedObservers
 from eiderpin.store.state import Event, Put
 
-FENCE_AFTER = 4_000.0  # longer than a member takes to know, and to announce, that a connection is dead
+FENCE_AFTER_MS = 4_000.0  # longer than a member takes to know, and to announce, that a connection is dead
 
 
 @dataclass(slots=True)
@@ -105,12 +105,12 @@
         """The member's state has changed by these events, of all names."""
         effects: list[Effect] = []
         for event in events:
-            if event.name.startswith(PRESENT):
-                self.live.member(event.name.removeprefix(PRESENT), event.value is not None)
+            if event.name.startswith(LIVE_MEMBERS):
+                self.live.set_member(event.name.removeprefix(LIVE_MEMBERS), event.value is not None)
             elif event.name.startswith(OBSERVERS):
                 self._announced(event.name.removeprefix(OBSERVERS), event.value, event.revision)
-            elif event.name == CURRENT:
-                self.counts.current(version_of(event.value), now)
+            elif event.name == CURRENT_CONFIG:
+                self.counts.current(parse_config_version(event.value), now)
         if any(event.name.startswith(OBSERVERS) for event in events):
             for observer in list(self._connected.values()):
                 effects += self._compare(observer, now)
@@ -120,7 +120,7 @@
         """The member's state is what these events make it, whatever was known before."""
         there = {event.name for event in events}
         known = [OBSERVERS + member for member in self.folded.members()]
-        known += [PRESENT + name for name in self.live.members]
+        known += [LIVE_MEMBERS + name for name in self.live.members]
         gone = [Event(0, name, None) for name in known if name not in there]
         return self.applied(gone + events, now)
 
@@ -133,7 +133,7 @@
             for entry in entries or ():
                 self.served.announce(entry.name, entry.token, entry.epoch or revision)
         self.folded.take(member, entries, revision)
-        self.live.announced(member, entries)
+        self.live.set_announced(member, entries)
 
     def _compare(self, observer: _Connected, now: float) -> list[Effect]:
         """See what the store says of one of our observers."""
@@ -168,9 +168,9 @@
         effects: list[Effect] = []
         for observer in self._connected.values():
             contested = observer.contested_at
-            if contested is not None and not observer.fenced and now >= contested + FENCE_AFTER:
+            if contested is not None and not observer.fenced and now >= contested + FENCE_AFTER_MS:
                 effects += self._fence(observer)
-            place = None if observer.fenced else self.live.place(observer.name)
+            place = None if observer.fenced else self.live.placement(observer.name)
             if place is not None and place != observer.fleet:
                 observer.fleet = place
                 effects.append(Send([observer.key], Fleet(*place)))
@@ -188,7 +188,7 @@
         return puts
 
 
-def version_of(value: bytes | None) -> int:
-    """The version that the value of `CURRENT` begins with; 0 where there is none or it is no number."""
+def parse_config_version(value: bytes | None) -> int:
+    """The version that the value of `CURRENT_CONFIG` begins with; 0 if it has none."""
     number = (value or b"").partition(b"\n")[0]
     return int(number) if number.isdigit() else 0
--- a/eiderpin/store/observer_sessions.py
+++ b/eiderpin/store/observer_sessions.py
@@ -16,7 +16,7 @@
 from eiderpin.parts.store import DEFAULT_MAX_OBSERVERS
 from eiderpin.store.admission import SnapshotAdmission
 from eiderpin.store.document_digest import DocumentDigest
-from eiderpin.store.names import OBSERVED
+from eiderpin.store.names import OBSERVED_PREFIXES
 from eiderpin.store.observer_protocol import (
     VERSION,
     Accepted,
@@ -93,7 +93,7 @@
 
 def observed(name: str) -> bool:
     """Whether observers follow the document with this name."""
-    return name.startswith(OBSERVED)
+    return name.startswith(OBSERVED_PREFIXES)
 
 
 class ObserverSessions:
@@ -221,7 +221,11 @@
 
     def _observed_documents(self) -> list[Document]:
         store = self.store()
-        return [document for prefix in OBSERVED for document in store.range(prefix, "", len(store.documents))]
+        return [
+            document
+            for prefix in OBSERVED_PREFIXES
+            for document in store.range(prefix, "", len(store.documents))
+        ]
 
     def _send_page(self, key: int, session: Session, first: bool) -> list[Effect]:
         page = session.pages.pop(0)
@@ -261,7 +265,7 @@
         return []
 
     def _events_after(self, revision: int) -> list[Event]:
-        return [event for event in self.store().since(revision + 1) if observed(event.name)]
+        return [event for event in self.store().events_since(revision + 1) if observed(event.name)]
 
     # -- the store and time
 
--- a/eiderpin/store/orders.py
+++ b/eiderpin/store/orders.py
@@ -8,14 +8,14 @@
 import orjson
 
 from eiderpin.interface import WorkerEntry, WorkerState
-from eiderpin.store.names import WORKER_ORDERS
+from eiderpin.store.names import WORKER_OVERRIDES
 
-PREFIX = WORKER_ORDERS
+PREFIX = WORKER_OVERRIDES
 MOST_SLOTS = 10_000.0
 
 
 @dataclass(slots=True, frozen=True)
-class Order:
+class WorkerOverride:
     """`cordon`: nothing new goes there, as if it drained. `slots`: no more than so many at once."""
 
     cordon: bool = False
@@ -27,7 +27,7 @@
         return orjson.dumps({"cordon": self.cordon, "slots": self.slots, "why": self.why})
 
 
-def read(value: bytes) -> Order:
+def read(value: bytes) -> WorkerOverride:
     """Raises `ValueError` with the field, the value and what is expected."""
     try:
         said: Any = orjson.loads(value)
@@ -47,17 +47,17 @@
         slots = float(slots)
     if not isinstance(why, str):
         raise ValueError(f"why: {why!r}; text is expected")
-    return Order(cordon, slots, why)
+    return WorkerOverride(cordon, slots, why)
 
 
-class Orders:
+class StoredOverrides:
     """Implements `core.dispatcher.WorkerOverrides`."""
 
     def __init__(self) -> None:
         """Begin without orders."""
-        self.orders: dict[str, Order] = {}
+        self.orders: dict[str, WorkerOverride] = {}
 
-    def take(self, name: str, order: Order | None) -> bool:
+    def set_override(self, name: str, order: WorkerOverride | None) -> bool:
         """None: it is taken back. Whether that changes anything."""
         if self.orders.get(name) == order:
             return False
--- a/eiderpin/store/presence.py
+++ b/eiderpin/store/presence.py
@@ -176,12 +176,12 @@
         self._observers: dict[str, set[str]] = {}  # by the member that announces them
         self._position: dict[str, int] | None = None
 
-    def member(self, name: str, live: bool) -> None:
+    def set_member(self, name: str, live: bool) -> None:
         """A dispatcher that is a member has come or gone."""
         (self.members.add if live else self.members.discard)(name)
         self._position = None
 
-    def announced(self, member: str, entries: list[ObserverEntry] | None) -> None:
+    def set_announced(self, member: str, entries: list[ObserverEntry] | None) -> None:
         """A member's document has changed; None: it is gone."""
         if entries is None:
             self._observers.pop(member, None)
@@ -193,7 +193,7 @@
         """All names, in order."""
         return list(self._positions())
 
-    def place(self, name: str) -> tuple[int, int] | None:
+    def placement(self, name: str) -> tuple[int, int] | None:
         """How many dispatchers there are, and which of them this one is, from 0; None: it is not live."""
         positions = self._positions()
         return (len(positions), positions[name]) if name in positions else None
--- a/eiderpin/store/state.py
+++ b/eiderpin/store/state.py
@@ -384,7 +384,7 @@
         names = sorted(n for n in self.documents if n.startswith(prefix) and n > after)
         return [self.documents[n] for n in names[:most]]
 
-    def since(self, revision: int, prefix: str = "") -> list[Event]:
+    def events_since(self, revision: int, prefix: str = "") -> list[Event]:
         """Events from `revision` on, oldest first. Raises `Compacted`."""
         if revision < self.oldest:
             raise Compacted(self.oldest)
@@ -410,7 +410,7 @@
         )  # fmt: skip
 
     @classmethod
-    def of(cls, image: bytes, history: int = HISTORY) -> Store:
+    def from_image(cls, image: bytes, history: int = HISTORY) -> Store:
         """Raises `msgspec.MsgspecError`."""
         store = cls(history)
         if not image:
--- a/tests/observer_sim.py
+++ b/tests/observer_sim.py
@@ -21,7 +21,7 @@
 from eiderpin.net.loop import Connection, Loop
 from eiderpin.parts.observer import MemberEndpoint
 from eiderpin.store import observer_server
-from eiderpin.store.names import CURRENT, WORKER_ORDERS
+from eiderpin.store.names import CURRENT_CONFIG, WORKER_OVERRIDES
 from eiderpin.store.observer_protocol import Report
 from eiderpin.store.observer_server import ObserverServer
 from eiderpin.store.observer_sessions import observed
@@ -388,11 +388,11 @@
         live = world.live()
         if live:
             self.version += 1
-            name = f"{WORKER_ORDERS}w{rng.randrange(WORKERS)}"
+            name = f"{WORKER_OVERRIDES}w{rng.randrange(WORKERS)}"
             value = b"%d" % self.version + b"x" * (BIG if rng.random() < 0.2 else 0)
             change: Put | Delete = Put(name, value) if rng.random() < 0.8 else Delete(name)
             if rng.random() < 0.3:
-                change = Put(CURRENT, b"%d\n{}" % self.version)
+                change = Put(CURRENT_CONFIG, b"%d\n{}" % self.version)
             elif rng.random() < 0.3:
                 change = Put(f"other{rng.randrange(3)}", b"%d" % self.version)
             member = world._member(rng.choice(live))
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -14,7 +14,7 @@
 from benchmarks.rig import free_port
 from benchmarks.store_rig import Cluster, Process
 from eiderpin.store import identity
-from eiderpin.store.client import Failed, StoreClient
+from eiderpin.store.client import StoreClient, StoreRequestError
 from eiderpin.store.messages import Appended, Ask, Beat, Config, Entry, EntryKind, Gone, Hard, Snapshot, Voted
 from eiderpin.store.raft import HEARD, Raft, Refused, Role
 from eiderpin.store.records import Born
@@ -181,7 +181,7 @@
 
 def test_two_that_are_left_with_one_empty_disk_wait_for_the_third(three: Cluster) -> None:
     leader, behind, lost = alone_with_a_lost_disk(three)
-    with pytest.raises(Failed) as failed:
+    with pytest.raises(StoreRequestError) as failed:
         StoreClient([three.all[n].door for n in (behind, lost)], 4.0).put("new", b"1")
     assert failed.value.kind == "no-leader"
     three.all[leader].start()
@@ -213,7 +213,7 @@
     three.all[old].start()
     three.all[behind].start()
     wait_for(lambda: "it is a copy of member" in three.all[old].log(), "the copy to be noticed")
-    with pytest.raises(Failed) as failed:
+    with pytest.raises(StoreRequestError) as failed:
         StoreClient([three.all[n].door for n in (behind, old)], 3.0).put("new", b"1")
     assert failed.value.kind == "no-leader"
     three.all[leader].start()
@@ -238,7 +238,7 @@
     three.all[emptied].start()
     only = StoreClient([three.all[old].door], 2.0)
     assert only.get("kept", stale=True)[0] == b"acknowledged"
-    with pytest.raises(Failed) as failed:
+    with pytest.raises(StoreRequestError) as failed:
         only.put("new", b"1")
     assert failed.value.kind in ("no-leader", "unknown")  # it led perhaps, and has yet to find out
 
@@ -260,8 +260,8 @@
     assert one.status()["voters"] == {old: one.listen}
 
     # Who followed the old one's revisions is told to begin anew, and does not wait for them to come again.
-    store.doors = [one.door]
-    with pytest.raises(Failed) as begun:
+    store.addresses = [one.door]
+    with pytest.raises(StoreRequestError) as begun:
         for _ in zip(range(200), watch, strict=False):
             pass  # what was told of the old generation before it ended
     assert begun.value.kind == "compacted"
--- a/tests/test_observer_rules.py
+++ b/tests/test_observer_rules.py
@@ -29,7 +29,7 @@
 from eiderpin.store.admission import SnapshotAdmission
 from eiderpin.store.document_digest import DocumentDigest
 from eiderpin.store.in_force import InForceCounts
-from eiderpin.store.names import CURRENT, IN_FORCE, OBSERVERS, PRESENT, WORKER_ORDERS
+from eiderpin.store.names import CURRENT_CONFIG, IN_FORCE, LIVE_MEMBERS, OBSERVERS, WORKER_OVERRIDES
 from eiderpin.store.observer_protocol import (
     VERSION,
     Accepted,
@@ -49,12 +49,12 @@
     SnapshotPage,
     Subscribe,
 )
-from eiderpin.store.observer_registry import FENCE_AFTER, ObserverRegistry, version_of
+from eiderpin.store.observer_registry import FENCE_AFTER_MS, ObserverRegistry, parse_config_version
 from eiderpin.store.observer_sessions import Effect, End, Joined, ObserverSessions, Phase, Send
 from eiderpin.store.presence import FoldedPresence, LiveDispatchers, ObserverEntry, ServedObservers
 from eiderpin.store.state import Command, Delete, Document, Event, Put, Store, Transaction
 
-ORDER = WORKER_ORDERS + "w1"
+ORDER = WORKER_OVERRIDES + "w1"
 
 
 def put(store: Store, name: str, value: bytes) -> Event:
@@ -87,7 +87,7 @@
 class TestSubscription(unittest.TestCase):
     def test_what_must_not_be_taken(self) -> None:
         page = SnapshotPage(12, [], True, False)
-        event = Event(11, CURRENT, b"1\n{}")
+        event = Event(11, CURRENT_CONFIG, b"1\n{}")
         cases: list[tuple[str, list[FromMember], Violation]] = [
             ("nothing was accepted", [Ping(1, 10, 0.0)], Violation.MALFORMED),
             ("accepted twice", [RESUMED, RESUMED], Violation.MALFORMED),
@@ -114,7 +114,7 @@
                 self.assertEqual((copy.position, copy.documents), before)
 
     def test_what_is_taken(self) -> None:
-        event = Event(11, CURRENT, b"1\n{}")
+        event = Event(11, CURRENT_CONFIG, b"1\n{}")
         old = Event(9, ORDER, b"older")
         gone = Event(12, ORDER, None)
         cases: list[tuple[str, list[FromMember], list[Update], tuple[int, int]]] = [
@@ -143,10 +143,10 @@
     def test_a_snapshot_tells_only_what_differs_and_goes_over_generations(self) -> None:
         copy = subscribed(Accepted(VERSION, "m0", 2, False))
         same = Document(ORDER, b"old", 3, 3)
-        new = Document(CURRENT, b"1\n{}", 4, 4)
+        new = Document(CURRENT_CONFIG, b"1\n{}", 4, 4)
         self.assertEqual(copy.handle_message(SnapshotPage(5, [new], True, False)), [])
         updates = copy.handle_message(SnapshotPage(5, [same], False, True))
-        self.assertEqual(updates, [DocumentsChanged([Event(4, CURRENT, b"1\n{}")]), UpToDate(0.0)])
+        self.assertEqual(updates, [DocumentsChanged([Event(4, CURRENT_CONFIG, b"1\n{}")]), UpToDate(0.0)])
         self.assertEqual(copy.position, (2, 5))
         copy.subscribe()
         copy.handle_message(Accepted(VERSION, "m0", 2, False))
@@ -196,11 +196,11 @@
         self.assertEqual([d.name for d in page.message.documents], [ORDER])
         self.assertEqual((page.message.revision, page.message.last), (2, True))
         self.assertEqual(self.change("other"), [])
-        event = Event(4, CURRENT, b"1\n")
-        self.assertEqual(self.change(CURRENT, b"1\n"), [Send([1], Changes(2, 4, [event]))])
+        event = Event(4, CURRENT_CONFIG, b"1\n")
+        self.assertEqual(self.change(CURRENT_CONFIG, b"1\n"), [Send([1], Changes(2, 4, [event]))])
 
     def test_one_that_comes_back_gets_what_it_missed_or_a_snapshot(self) -> None:
-        self.change(CURRENT, b"1\n")
+        self.change(CURRENT_CONFIG, b"1\n")
         for position, resumes in (((1, 2), True), ((1, 3), True), ((0, 3), False)):
             with self.subTest(position=position):
                 effects = self.subscribe(9, position)
@@ -271,12 +271,12 @@
 
     def test_pages_go_one_by_one_and_changes_meanwhile_come_after_them(self) -> None:
         for number in range(3):
-            put(self.store, f"{WORKER_ORDERS}big{number}", b"x" * observer_sessions.PAGE_BYTES)
+            put(self.store, f"{WORKER_OVERRIDES}big{number}", b"x" * observer_sessions.PAGE_BYTES)
         self.sessions.replaced(0.0)
         _, _, first = self.subscribe()
         assert isinstance(first, Send) and isinstance(first.message, SnapshotPage)
         self.assertEqual((first.message.first, first.message.last), (True, False))
-        self.assertEqual(self.change(CURRENT, b"1\n"), [])
+        self.assertEqual(self.change(CURRENT_CONFIG, b"1\n"), [])
         pages = []
         while self.sessions.sessions[1].phase is Phase.SNAPSHOT:
             pages += self.sessions.flushed(1)
@@ -284,11 +284,11 @@
         assert isinstance(last, Send) and isinstance(last.message, SnapshotPage)
         self.assertTrue(last.message.last)
         assert isinstance(changes, Send) and isinstance(changes.message, Changes)
-        self.assertEqual([e.name for e in changes.message.events], [CURRENT])
+        self.assertEqual([e.name for e in changes.message.events], [CURRENT_CONFIG])
         self.assertEqual(changes.message.base, last.message.revision)
 
     def test_a_slow_one_whose_changes_are_forgotten_begins_anew(self) -> None:
-        put(self.store, f"{WORKER_ORDERS}big", b"x" * observer_sessions.PAGE_BYTES)
+        put(self.store, f"{WORKER_OVERRIDES}big", b"x" * observer_sessions.PAGE_BYTES)
         self.sessions.replaced(0.0)
         self.subscribe()
         for number in range(6):
@@ -301,7 +301,7 @@
 
     def test_no_ping_tells_of_what_was_not_passed_on(self) -> None:
         self.subscribe()
-        event = put(self.store, CURRENT, b"1\n")  # applied; its disk failed before it was passed on
+        event = put(self.store, CURRENT_CONFIG, b"1\n")  # applied; its disk failed before it was passed on
         (ping,) = [e for e in self.sessions.tick(1000.0, 2, 0.0) if isinstance(e, Send)]
         assert isinstance(ping.message, Ping)
         self.assertEqual(ping.message.revision, 2)
@@ -310,7 +310,7 @@
     def test_much_that_changed_goes_in_parts_cut_between_revisions(self) -> None:
         self.subscribe()
         big = b"x" * (observer_sessions.CHANGES_BYTES // 2 - 100)
-        events = [put(self.store, f"{WORKER_ORDERS}w{n}", big) for n in range(5)]
+        events = [put(self.store, f"{WORKER_OVERRIDES}w{n}", big) for n in range(5)]
         sent = [e.message for e in self.sessions.applied(events, 0.0) if isinstance(e, Send)]
         copy = subscribed(RESUMED, at=(1, 2))
         for message in sent:
@@ -319,9 +319,9 @@
             copy.handle_message(message)
         self.assertEqual((len(sent), copy.position), (3, (1, 7)))
         one = self.store.apply(
-            Command("", 0, Transaction([Put(f"{WORKER_ORDERS}w{n}", big) for n in range(3)]))
+            Command("", 0, Transaction([Put(f"{WORKER_OVERRIDES}w{n}", big) for n in range(3)]))
         ).revision
-        whole = self.sessions.applied(self.store.since(one), 0.0)  # one revision is never cut
+        whole = self.sessions.applied(self.store.events_since(one), 0.0)  # one revision is never cut
         assert isinstance(whole[0], Send) and isinstance(whole[0].message, Changes)
         self.assertEqual((len(whole), len(whole[0].message.events)), (1, 3))
 
@@ -343,13 +343,13 @@
     def test_one_that_leaves_is_forgotten(self) -> None:
         self.subscribe()
         self.assertEqual(self.sessions.received(1, Leave(), 0.0), [])
-        self.assertEqual(self.change(CURRENT), [])
+        self.assertEqual(self.change(CURRENT_CONFIG), [])
 
     def test_a_digest_follows_each_change_and_is_told_now_and_then(self) -> None:
         self.subscribe()
-        self.change(CURRENT, b"1\n")
+        self.change(CURRENT_CONFIG, b"1\n")
         self.sessions.applied([delete(self.store, ORDER)], 0.0)
-        whole = DocumentDigest(d for d in self.store.documents.values() if d.name == CURRENT)
+        whole = DocumentDigest(d for d in self.store.documents.values() if d.name == CURRENT_CONFIG)
         self.assertEqual(self.sessions.digest.value, whole.value)
         told = []
         for second in range(1, 61):
@@ -469,13 +469,13 @@
 
     def test_everybody_has_one_place(self) -> None:
         live = LiveDispatchers()
-        live.member("m0", True)
-        live.announced("m0", [entry("o2", "t"), entry("o1", "t")])
-        live.announced("m1", [entry("o1", "t")])
+        live.set_member("m0", True)
+        live.set_announced("m0", [entry("o2", "t"), entry("o1", "t")])
+        live.set_announced("m1", [entry("o1", "t")])
         self.assertEqual(live.names(), ["m0", "o1", "o2"])
-        self.assertEqual(live.place("o2"), (3, 2))
-        live.announced("m0", None)
-        self.assertEqual((live.place("o1"), live.place("o2")), ((2, 1), None))
+        self.assertEqual(live.placement("o2"), (3, 2))
+        live.set_announced("m0", None)
+        self.assertEqual((live.placement("o1"), live.placement("o2")), ((2, 1), None))
 
 
 class TestRegistry(unittest.TestCase):
@@ -502,8 +502,8 @@
         self.join(1, "old")
         self.commit("m0", 5, entry("o", "old"))
         self.assertEqual(self.commit("m1", 8, entry("o", "new")), [])
-        self.assertEqual(self.registry.tick(FENCE_AFTER - 1), [Send([1], Fleet(1, 0))])
-        self.assertEqual(self.registry.tick(FENCE_AFTER), [Send([1], Fenced())])
+        self.assertEqual(self.registry.tick(FENCE_AFTER_MS - 1), [Send([1], Fleet(1, 0))])
+        self.assertEqual(self.registry.tick(FENCE_AFTER_MS), [Send([1], Fenced())])
         (put,) = [p for p in self.registry.announcement(1, 0.0, True) if p.name == OBSERVERS + "m0"]
         self.assertEqual(presence.read(put.value), [])
 
@@ -511,9 +511,9 @@
         self.join(1, "new")
         self.commit("m0", 5, entry("o", "new"))
         self.commit("m1", 8, entry("o", "died"))
-        self.registry.tick(FENCE_AFTER - 1)
+        self.registry.tick(FENCE_AFTER_MS - 1)
         self.commit("m1", 9, msgspec.structs.replace(entry("o", "died", 1, 8), connected=False))
-        self.assertEqual(self.registry.tick(FENCE_AFTER + 1), [])
+        self.assertEqual(self.registry.tick(FENCE_AFTER_MS + 1), [])
         self.join(2, "at once", name="p")
         self.registry.left(2, 0.0, planned=False)
         (put, _) = self.registry.announcement(1, 0.0, True)
@@ -531,24 +531,26 @@
     def test_each_is_told_its_place_once(self) -> None:
         self.join(1, "t", name="o1")
         self.join(2, "t", name="o2")
-        self.registry.applied([Event(3, PRESENT + "m0", b"{}")], 0.0)
+        self.registry.applied([Event(3, LIVE_MEMBERS + "m0", b"{}")], 0.0)
         self.commit("m0", 5, entry("o1", "t"), entry("o2", "t"))
         self.assertEqual(self.registry.tick(0.0), [Send([1], Fleet(3, 1)), Send([2], Fleet(3, 2))])
         self.assertEqual(self.registry.tick(0.0), [])
-        self.registry.applied([Event(8, PRESENT + "m0", None)], 0.0)
+        self.registry.applied([Event(8, LIVE_MEMBERS + "m0", None)], 0.0)
         self.assertEqual(self.registry.tick(0.0), [Send([1], Fleet(2, 0)), Send([2], Fleet(2, 1))])
 
     def test_what_a_replaced_state_lacks_is_gone(self) -> None:
-        self.registry.applied([Event(2, PRESENT + "m1", b"{}"), Event(3, PRESENT + "m2", b"{}")], 0.0)
+        self.registry.applied(
+            [Event(2, LIVE_MEMBERS + "m1", b"{}"), Event(3, LIVE_MEMBERS + "m2", b"{}")], 0.0
+        )
         self.commit("m1", 5, entry("o1", "t"))
-        self.registry.replaced([Event(3, PRESENT + "m2", b"{}")], 0.0)
+        self.registry.replaced([Event(3, LIVE_MEMBERS + "m2", b"{}")], 0.0)
         self.assertEqual((self.registry.live.names(), self.registry.folded.observers), (["m2"], {}))
 
     def test_what_cannot_be_read_changes_nothing(self) -> None:
         self.commit("m1", 5, entry("o", "t"))
         self.registry.applied([Event(6, OBSERVERS + "m1", b"\xc1")], 0.0)
         self.assertEqual(self.registry.live.names(), ["o"])
-        self.assertEqual([version_of(v) for v in (b"12\n{}", b"x\n", b"", None)], [12, 0, 0, 0])
+        self.assertEqual([parse_config_version(v) for v in (b"12\n{}", b"x\n", b"", None)], [12, 0, 0, 0])
 
     def test_only_what_changed_is_put(self) -> None:
         self.join(1, "t")
--- a/tests/test_observer_sim.py
+++ b/tests/test_observer_sim.py
@@ -34,9 +34,9 @@
 
 def gives_what_is_left(self: ObserverSessions, revision: int) -> list[Event]:
     try:
-        return [e for e in self.store().since(revision + 1) if observed(e.name)]
+        return [e for e in self.store().events_since(revision + 1) if observed(e.name)]
     except Compacted:
-        return [e for e in self.store().since(self.store().oldest) if observed(e.name)]
+        return [e for e in self.store().events_since(self.store().oldest) if observed(e.name)]
 
 
 def resumes_only_those_that_are_behind(self: ObserverSessions, generation: int, revision: int) -> bool:
@@ -104,7 +104,7 @@
     ("an epoch that grows with each announcement", 37,
      [(ServedObservers, "announce", never_learns_an_epoch)], Subscription),
     ("fenced by one that died", 97,
-     [(observer_registry, "FENCE_AFTER", 0.0),
+     [(observer_registry, "FENCE_AFTER_MS", 0.0),
       (ServedObservers, "lose", keeps_those_that_died)], Subscription),
     ("nobody is fenced", 1, [(ObserverRegistry, "_fence", fences_nobody)], Subscription),
 ]  # fmt: skip
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -21,11 +21,11 @@
 from benchmarks.store_rig import Cluster, Process
 from eiderpin.cli.config import publish_config
 from eiderpin.parts.store import parse_address
-from eiderpin.store.client import Failed
-from eiderpin.store.fleet_view import documents, live_observers
+from eiderpin.store.client import StoreRequestError
+from eiderpin.store.fleet_view import list_documents, live_observers
 from eiderpin.store.names import OBSERVERS
-from eiderpin.store.observer_registry import FENCE_AFTER
-from eiderpin.store.orders import Order
+from eiderpin.store.observer_registry import FENCE_AFTER_MS
+from eiderpin.store.orders import WorkerOverride
 from tests.standins import http_call, wait_for
 from tests.test_command import eiderpin
 from tests.test_upgrade import TOOK, said, side
@@ -68,7 +68,7 @@
     def status(self, process: Process) -> dict[str, Any]:
         try:
             return dict(process.status()["observer"])
-        except Failed:
+        except StoreRequestError:
             return {}
 
     def await_known(self, process: Process) -> None:
@@ -77,7 +77,7 @@
 
     def put_order(self, slots: float) -> None:
         store = self.cluster.store_client(20.0)
-        store.put(WORKER_ORDER, Order(slots=slots).pack())
+        store.put(WORKER_ORDER, WorkerOverride(slots=slots).pack())
         store.close()
 
     def applied(self, slots: float) -> bool:
@@ -86,7 +86,7 @@
 
     def announced(self) -> dict[str, str]:
         """Who is announced, and by which member."""
-        live = live_observers(documents(self.cluster.store_client(10.0), OBSERVERS), OBSERVERS)
+        live = live_observers(list_documents(self.cluster.store_client(10.0), OBSERVERS), OBSERVERS)
         return {name: one.member for name, one in live.items()}
 
     def stop(self) -> None:
@@ -284,7 +284,7 @@
             said(old, TOOK)
             it.put_order(4.0)
             said(old, "slots=4.0")  # it is the observer still
-            time.sleep(FENCE_AFTER / 1000.0 + 1.0)  # two with one name would be told by now
+            time.sleep(FENCE_AFTER_MS / 1000.0 + 1.0)  # two with one name would be told by now
             old.process.send_signal(signal.SIGTERM)
             self.assertEqual(old.process.wait(20), 0)
             said(new, "slots=4.0")
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from eiderpin.store import identity
-from eiderpin.store.client import Failed
+from eiderpin.store.client import StoreRequestError
 from eiderpin.store.messages import Config
 from tests.standins import wait_for
 from tests.test_command import eiderpin
@@ -54,18 +54,18 @@
             )
             shown = eiderpin("store", "members", "--door", it.all["m0"].door).stdout
             self.assertIn("standby    s1", shown)
-            with self.assertRaisesRegex(Failed, "no standby"):
+            with self.assertRaisesRegex(StoreRequestError, "no standby"):
                 store.ask("promote", 20.0, name="m0")
             lost = next(name for name in ("m1", "m2") if name != it.leader())
             it.all.pop(lost).kill()
-            store.doors = [p.door for p in it.all.values()]
+            store.addresses = [p.door for p in it.all.values()]
             done = eiderpin("store", "promote", "s1", "--door", it.all["m0"].door)
             self.assertIn("voter      s1", done.stdout + done.stderr)
             store.ask("remove", 20.0, name=lost)
             self.assertEqual(sorted(store.ask("status")["voters"]), sorted(it.all))
             other = next(name for name in it.all if name not in (it.leader(), "s1"))
             it.all[other].kill()
-            store.doors = [p.door for p in it.all.values() if p.alive]
+            store.addresses = [p.door for p in it.all.values() if p.alive]
             store.put("by the vote of the one that was promoted", b"v")
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -25,7 +25,7 @@
 from eiderpin import interface as api
 from eiderpin.core.learned import Learned
 from eiderpin.store import hints, orders
-from eiderpin.store.client import Failed, StoreClient
+from eiderpin.store.client import StoreClient, StoreRequestError
 from eiderpin.store.framing import Frames, frame
 from eiderpin.store.messages import Beat
 from eiderpin.store.transport import MAGIC, VERSION, Hello, Welcome
@@ -56,7 +56,7 @@
             store = StoreClient([one.door], 15.0)
             first = store.put("a", b"1")
             self.assertGreater(store.put("b", b"\0\xff", 0)["revision"], first["revision"])
-            with self.assertRaisesRegex(Failed, "revision") as failed:
+            with self.assertRaisesRegex(StoreRequestError, "revision") as failed:
                 store.put("b", b"x", 0)
             self.assertEqual(failed.exception.kind, "differs")
             one.kill()
@@ -115,11 +115,11 @@
             assert one.process is not None
             limits = resource.prlimit(one.process.pid, resource.RLIMIT_FSIZE, (1, -1))
             quick = StoreClient([one.door], 0.3)
-            with self.assertRaises(Failed):
+            with self.assertRaises(StoreRequestError):
                 quick.change("txn", puts=[{"name": "b", "value": "eA=="}])
             wait_for(lambda: one.status()["disk_fails"], "the disk to be found out")
             self.assertEqual(quick.get("a", stale=True)[0], b"1")
-            with self.assertRaises(Failed):
+            with self.assertRaises(StoreRequestError):
                 quick.get("a")
             resource.prlimit(one.process.pid, resource.RLIMIT_FSIZE, limits)
             wait_for(lambda: not one.status()["disk_fails"], "the disk to come back")
@@ -137,12 +137,12 @@
             old = it.serving(store=store)
             client = StoreClient([old.at["management"]], 15.0)
             client.put("a", b"1")
-            client.put("orders/workers/h1", orders.Order(cordon=True).pack())
+            client.put("orders/workers/h1", orders.WorkerOverride(cordon=True).pack())
             new = it.serving(store=store)
             said(old, TOOK)
             client.put("b", b"2")  # the old one is the member still
             quick = StoreClient([new.at["management"]], 0.3)
-            with self.assertRaisesRegex(Failed, "ask at its door"):
+            with self.assertRaisesRegex(StoreRequestError, "ask at its door"):
                 quick.get("a")
             old.process.send_signal(signal.SIGTERM)
             self.assertEqual(old.process.wait(20), 0)
@@ -189,7 +189,7 @@
             left = it.store_client(0.5, lead)
             wait_for(lambda: it.all[lead].status()["role"] != "leader", "it to step down")
             for call in (lambda: left.put("a", b"2"), lambda: left.get("a")):
-                with self.assertRaises(Failed) as failed:
+                with self.assertRaises(StoreRequestError) as failed:
                     call()
                 self.assertIn(failed.exception.kind, ("no-leader", "unknown"))
             self.assertEqual(left.get("a", stale=True)[0], b"1")
@@ -207,7 +207,7 @@
             def load() -> None:
                 mine = it.store_client(20.0, "m0")
                 while not stop.is_set():
-                    mine.doors = [p.door for p in list(it.all.values()) if p.alive]
+                    mine.addresses = [p.door for p in list(it.all.values()) if p.alive]
                     done.append(mine.put(f"k{len(done)}", b"v")["revision"])
 
             thread = threading.Thread(target=load, daemon=True)
@@ -216,18 +216,18 @@
                 process = it.join(name)
                 said = store.ask("add", 20.0, name=name, address=process.listen)
                 self.assertIn(name, said["voters"])
-            store.doors = [p.door for p in it.all.values()]
+            store.addresses = [p.door for p in it.all.values()]
             self.assertEqual(set(store.ask("remove", name="m0")["voters"]), {"n1", "n2"})
             wait_for(lambda: it.all["m0"].status()["removed"], "the removed member to hear of it")
             before = len(done)
             it.all["m0"].kill()
-            store.doors = [it.all[n].door for n in ("n1", "n2")]
+            store.addresses = [it.all[n].door for n in ("n1", "n2")]
             wait_for(lambda: len(done) > before + 5, "writes to go on")
             stop.set()
             thread.join(20)
             self.assertEqual(sorted(set(done)), done)  # each once, in order
             self.assertEqual(store.get(f"k{len(done) - 1}")[0], b"v")
-            with self.assertRaisesRegex(Failed, "no member"):
+            with self.assertRaisesRegex(StoreRequestError, "no member"):
                 store.ask("remove", name="m0")
 
     def test_a_snapshot_begins_a_new_cluster_without_the_old_ones_votes(self) -> None:
@@ -246,7 +246,7 @@
             store = StoreClient([new.door], 15.0)
             self.assertEqual(store.get("k29")[0], b"29")
             store.put("k30", b"new")
-            with self.assertRaises(Failed):
+            with self.assertRaises(StoreRequestError):
                 it.store_client().get("k30")
             # A member of the old cluster at that address is refused, with the reason.
             host, port = at.split(":")
@@ -302,7 +302,7 @@
             wait_for(lambda: it.all[lead].status()["disk_fails"], "the disk to be found out")
             first = it.store_client(15.0, lead, *(n for n in it.all if n != lead))
             self.assertEqual(first.get("a")[0], b"2")  # it is asked first, and those behind it answer
-            first.doors.sort(key=lambda door: door != it.all[lead].door)
+            first.addresses.sort(key=lambda door: door != it.all[lead].door)
             first.put("a", b"3")
             self.assertTrue(it.all[lead].status()["disk_fails"])
             resource.prlimit(it.all[lead].process.pid, resource.RLIMIT_FSIZE, limits)  # type: ignore[union-attr]
@@ -319,7 +319,7 @@
                 store.change("keep", lease=lease)
             self.assertEqual(store.get("here")[0], b"m0")
             wait_for(lambda: not store.ask("range", prefix="here")["documents"], "the lease to end")
-            with self.assertRaisesRegex(Failed, "no lease"):
+            with self.assertRaisesRegex(StoreRequestError, "no lease"):
                 store.change("keep", lease=lease)
 
     def test_chaos_for_a_while(self) -> None:
@@ -500,8 +500,8 @@
             (b'{"slots":2}', entry, "IN_SERVICE", 2.0), (b'{"slots":9}', entry, "IN_SERVICE", 4.0),
             (b'{"slots":2}', unknown, "IN_SERVICE", 2.0), (b'{"cordon":false}', drains, "DRAINING", 4.0),
         ):  # fmt: skip
-            it = orders.Orders()
-            it.take("w1", orders.read(text))
+            it = orders.StoredOverrides()
+            it.set_override("w1", orders.read(text))
             got = it.apply(before)
             self.assertEqual((got.state.name, got.slots), (state, slots), text)
         for text, why in (
@@ -546,7 +546,7 @@
                 store = StoreClient([one.door], 15.0)
                 store.ask("status")
                 wait_for(lambda: http_call(worker.back, "GET", "/_health")[0] == 200, "it to be ready")
-                store.put("orders/workers/w1", orders.Order(slots=2).pack())
+                store.put("orders/workers/w1", orders.WorkerOverride(slots=2).pack())
                 wait_for(lambda: "order for worker w1" in one.log(), "the order")
                 ask(*range(6))
                 wait_for(lambda: len(held) == 2, "two to be out")
--- a/tests/test_store_state.py
+++ b/tests/test_store_state.py
@@ -99,7 +99,7 @@
         self.assertEqual(store.now, 3500.0)
         do(store, Revoke(other))
         self.assertEqual(sorted(store.documents), ["c"])
-        self.assertEqual([e.value for e in store.since(1, "b")], [b"", None])
+        self.assertEqual([e.value for e in store.events_since(1, "b")], [b"", None])
 
     def test_a_numbered_command_is_carried_out_once(self) -> None:
         store = Store()
@@ -125,10 +125,10 @@
         for i in range(3):
             do(store, Transaction([Put("a", b"%d" % i), Put("b", b"%d" % i)]))
         self.assertEqual(store.oldest, 2)
-        self.assertEqual([e.revision for e in store.since(2)], [2, 2, 3, 3])
-        self.assertEqual(store.since(4), [])
+        self.assertEqual([e.revision for e in store.events_since(2)], [2, 2, 3, 3])
+        self.assertEqual(store.events_since(4), [])
         with self.assertRaises(Compacted):
-            store.since(1)
+            store.events_since(1)
 
 
 class AgainstAModel(RuleBasedStateMachine):
@@ -163,13 +163,13 @@
 
     @rule()
     def restart(self) -> None:
-        self.twin = Store.of(self.twin.image(), history=30)
+        self.twin = Store.from_image(self.twin.image(), history=30)
 
     @rule()
     def watch(self) -> None:
         events: list[Event] = []
         try:
-            events = self.store.since(self.next)
+            events = self.store.events_since(self.next)
         except Compacted:
             self.seen = {d.name: d.value for d in self.store.range("")}
         for event in events:
