--- a/eiderpin/cli/config.py
+++ b/eiderpin/cli/config.py
@@ -16,8 +16,8 @@
 
 from eiderpin.cli.store import door_option, load_fleet_view, store_client
 from eiderpin.configuration import ConfigError, read_shared_config
-from eiderpin.store.client import Failed, StoreClient
-from eiderpin.store.names import CURRENT, IN_FORCE, OBSERVERS, PRESENT, VERSIONS
+from eiderpin.store.client import StoreClient, StoreRequestError
+from eiderpin.store.names import CONFIG_VERSIONS, CURRENT_CONFIG, IN_FORCE, LIVE_MEMBERS, OBSERVERS
 
 # Stands for the settings that each dispatcher's own file has, so that a shared text can be checked alone.
 PLACEHOLDER_OWN_SETTINGS = {"name": "x", "listen": "127.0.0.1:0", "workers": []}
@@ -40,10 +40,10 @@
 
 def read_current_config(store: StoreClient) -> tuple[int, bytes, int]:
     """Return the version, the text and the document's revision; 0, b"" and 0 if no configuration is shared.
-    Raises `Failed`."""
+    Raises `StoreRequestError`."""
     try:
-        value, document = store.get(CURRENT)
-    except Failed as error:
+        value, document = store.get(CURRENT_CONFIG)
+    except StoreRequestError as error:
         if error.kind != "absent":
             raise
         return 0, b"", 0
@@ -52,13 +52,14 @@
 
 
 def read_config_version(store: StoreClient, number: int) -> bytes:
-    """Return the text of one version. Raises `Failed`, of kind `absent` if there is none of this number."""
-    return store.get(f"{VERSIONS}{number:08d}")[0]
+    """Return the text of one version. Raises `StoreRequestError`, of kind `absent` if there is none of this
+    number."""
+    return store.get(f"{CONFIG_VERSIONS}{number:08d}")[0]
 
 
 def publish_config(store: StoreClient, text: bytes) -> int:
-    """Store `text` as the next version and return its number. Raises `Failed`, of kind `differs` if another
-    version was published in the meantime."""
+    """Store `text` as the next version and return its number. Raises `StoreRequestError`, of kind `differs`
+    if another version was published in the meantime."""
     current_number, _, revision = read_current_config(store)
     number = current_number + 1
 
@@ -66,8 +67,12 @@
         return {"name": name, "value": base64.b64encode(value).decode()}
 
     store.change(
-        "txn", puts=[document(CURRENT, b"%d\n" % number + text), document(f"{VERSIONS}{number:08d}", text)],
-        compares=[{"name": CURRENT, "revision": revision}],
+        "txn",
+        puts=[
+            document(CURRENT_CONFIG, b"%d\n" % number + text),
+            document(f"{CONFIG_VERSIONS}{number:08d}", text),
+        ],
+        compares=[{"name": CURRENT_CONFIG, "revision": revision}],
     )  # fmt: skip
     return number
 
@@ -108,17 +113,17 @@
             return
         current_number, text, _ = read_current_config(client)
         fleet_view = load_fleet_view()
-        members = fleet_view.documents(client, PRESENT)
-        observers = fleet_view.live_observers(fleet_view.documents(client, OBSERVERS), OBSERVERS)
+        members = fleet_view.list_documents(client, LIVE_MEMBERS)
+        observers = fleet_view.live_observers(fleet_view.list_documents(client, OBSERVERS), OBSERVERS)
         view = fleet_view.config_view(
-            current_number, members, observers, fleet_view.documents(client, IN_FORCE)
+            current_number, members, observers, fleet_view.list_documents(client, IN_FORCE)
         )
     sys.stdout.buffer.write(text)
     sys.stdout.flush()
     click.echo(f"version {current_number}" if current_number else "no configuration is shared", err=True)
     for document in members:
         config = json.loads(document.value)["config"]
-        click.echo(f"{document.name.removeprefix(PRESENT)}: {config or 'none taken'}", err=True)
+        click.echo(f"{document.name.removeprefix(LIVE_MEMBERS)}: {config or 'none taken'}", err=True)
     if observers:
         _print_rollout(view)
 
@@ -164,7 +169,7 @@
         current_number, _, _ = read_current_config(client)
         restored = number if number is not None else current_number - 1
         if restored < 1:
-            raise Failed("refused", "there is no earlier version")
+            raise StoreRequestError("refused", "there is no earlier version")
         click.echo(
             f"version {publish_config(client, read_config_version(client, restored))}, "
             f"which is version {restored} again"
--- a/eiderpin/cli/store.py
+++ b/eiderpin/cli/store.py
@@ -15,7 +15,7 @@
 
 import click
 
-from eiderpin.store.client import Failed, StoreClient
+from eiderpin.store.client import StoreClient, StoreRequestError
 
 Command = TypeVar("Command", bound=Callable[..., Any])
 # The exit code for each kind of error that `StoreClient` raises.
@@ -35,12 +35,12 @@
         timeout_s: How long one call may take, including its retries at other members.
     """
     client = StoreClient([address.strip() for address in doors.split(",") if address.strip()], timeout_s)
-    if not client.doors:
+    if not client.addresses:
         raise click.UsageError("no management address: give --door HOST:PORT or set EIDERPIN_DOOR")
     try:
         yield client
         client.close()
-    except Failed as error:
+    except StoreRequestError as error:
         click.echo(f"eiderpin: {error}", err=True)
         sys.exit(EXIT_CODES[error.kind])
 
@@ -113,7 +113,7 @@
     with store_client(doors) as client:
         status = client.ask("status")
         if "observer" in status:
-            raise Failed(
+            raise StoreRequestError(
                 "no-leader", "this dispatcher is no member of the store: use a member's management address"
             )
         _print_members(status)
--- a/eiderpin/cli/workers.py
+++ b/eiderpin/cli/workers.py
@@ -11,9 +11,9 @@
 
 from eiderpin.cli.store import door_option, load_fleet_view, store_client
 from eiderpin.store import orders
-from eiderpin.store.client import Failed, StoreClient
-from eiderpin.store.names import OBSERVERS, PRESENT
-from eiderpin.store.orders import Order
+from eiderpin.store.client import StoreClient, StoreRequestError
+from eiderpin.store.names import LIVE_MEMBERS, OBSERVERS
+from eiderpin.store.orders import WorkerOverride
 
 # An update is repeated this often if others change the same override in the meantime.
 MAX_UPDATE_ATTEMPTS = 20
@@ -24,24 +24,24 @@
     """Overrides for workers, applied by all dispatchers of the store. Exit codes as for `eiderpin store`."""
 
 
-def update_override(store: StoreClient, name: str, **changes: object) -> Order:
+def update_override(store: StoreClient, name: str, **changes: object) -> WorkerOverride:
     """Change fields of a worker's override and return the result. Fields that others change in the meantime
-    are kept. Raises `Failed`."""
+    are kept. Raises `StoreRequestError`."""
     for _ in range(MAX_UPDATE_ATTEMPTS):
-        override, revision = Order(), 0
+        override, revision = WorkerOverride(), 0
         try:
             value, document = store.get(orders.PREFIX + name)
             override, revision = orders.read(value), document["revision"]
-        except Failed as error:
+        except StoreRequestError as error:
             if error.kind != "absent":
                 raise
         except ValueError as error:
-            raise Failed("refused", f"the stored override is not valid: {error}") from None
+            raise StoreRequestError("refused", f"the stored override is not valid: {error}") from None
         override = replace(override, **changes)  # type: ignore[arg-type]
         try:
             orders.read(override.pack())
         except ValueError as error:
-            raise Failed("bad", str(error)) from None
+            raise StoreRequestError("bad", str(error)) from None
         try:
             if override.cordon or override.slots is not None:
                 store.put(orders.PREFIX + name, override.pack(), revision)
@@ -49,10 +49,10 @@
                 store.change("txn", deletes=[orders.PREFIX + name],
                              compares=[{"name": orders.PREFIX + name, "revision": revision}])  # fmt: skip
             return override
-        except Failed as error:
+        except StoreRequestError as error:
             if error.kind != "differs":
                 raise
-    raise Failed("refused", f"the override for {name} is changed by others too often; try again")
+    raise StoreRequestError("refused", f"the override for {name} is changed by others too often; try again")
 
 
 @workers.command()
@@ -112,10 +112,10 @@
     """List the live dispatchers."""
     with store_client(doors) as client:
         fleet_view = load_fleet_view()
-        members = fleet_view.documents(client, PRESENT)
-        observers = fleet_view.live_observers(fleet_view.documents(client, OBSERVERS), OBSERVERS)
+        members = fleet_view.list_documents(client, LIVE_MEMBERS)
+        observers = fleet_view.live_observers(fleet_view.list_documents(client, OBSERVERS), OBSERVERS)
     for document in members:
-        click.echo(_format_dispatcher(document.name.removeprefix(PRESENT), document.value, "member"))
+        click.echo(_format_dispatcher(document.name.removeprefix(LIVE_MEMBERS), document.value, "member"))
     for name, live in observers.items():
         click.echo(_format_dispatcher(name, live.entry.about or b"{}", f"observer of {live.member}"))
 
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -201,7 +201,7 @@
                 raise ConfigError(f"store.directory {options.folder}: {error}") from None
             self.deadlines.set(self.clock.now() + STORE_RETRY_MS, lambda: self.join_store(options))
             if self.management is not None:
-                self.management.extensions["store"] = door.Elsewhere()
+                self.management.extensions["store"] = door.PeerStoreApi()
             if options.outcomes:
                 from eiderpin.jobs import elsewhere
                 from eiderpin.parts import durable as job_options
@@ -213,7 +213,7 @@
         except ValueError as error:
             raise ConfigError(str(error)) from None
         if self.management is not None:
-            self.management.extensions["store"] = door.StoreDoor(self.store)
+            self.management.extensions["store"] = door.StoreApi(self.store)
         self.shared_state = SharedState(
             self.store,
             self.core,
