--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -190,11 +190,11 @@
         ]  # fmt: skip
         for settings, text in cases:
             with self.subTest(settings=settings), self.assertRaisesRegex(ValueError, text):
-                durable_options.read(settings, ["c"])
-        self.assertIsNone(durable_options.read({"directory": ""}, ["c"]))
-        options = durable_options.read({**good, "keep_s": 5}, ["c"])
+                durable_options.read_options(settings, ["c"])
+        self.assertIsNone(durable_options.read_options({"directory": ""}, ["c"]))
+        options = durable_options.read_options({**good, "keep_s": 5}, ["c"])
         assert options is not None
-        self.assertEqual((options.keep, options.folder), (5000.0, "/x"))
+        self.assertEqual((options.keep_ms, options.folder), (5000.0, "/x"))
 
     def test_features_that_are_off_are_not_imported(self) -> None:
         """Guards against an import that makes a dispatcher without optional features need their packages, or
