--- a/eiderpin/core/learned.py
+++ b/eiderpin/core/learned.py
@@ -31,7 +31,10 @@
             for name, shape in module.shapes.items()
         },
         "workers": {
-            name: (worker.slowdown, worker.run_ratio.run, worker.run_ratio.work, module.fault_of(worker))
+            name: (
+                worker.slowdown, worker.run_ratio.run, worker.run_ratio.work,
+                module.current_failure_rate(worker),
+            )
             for name, worker in module.workers.items() if worker.run_ratio.work or worker.failure_rate
         },
         "fleet": {"": (module.mean_run_ms, module.run_ratio.run, module.run_ratio.work)},
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -66,7 +66,7 @@
     harness = harness_with_trusted_workers(1)
     for name in ("w5", "w9"):
         # full with jobs of others
-        harness.dispatcher.note_others(harness.dispatcher.workers[name], 10.0, 0.0)
+        harness.dispatcher.record_slots_of_others(harness.dispatcher.workers[name], 10.0, 0.0)
     harness.handle(api.Request(1, "pay", 4000, hint=50.0))
     aim = harness.dispatcher.classes["pay"].aim
     assert sends(harness.advance(TRUSTED_ONLY_AIM_SHARE * aim - 10)) == []
