--- a/eiderpin/explain.py
+++ b/eiderpin/explain.py
@@ -7,29 +7,39 @@
 
 
 def worker(dispatcher: Dispatcher, name: str) -> api.Facts:
-    """Return what determines a worker's rank now. Times are in ms; `height` is its load with one more job."""
-    seen = dispatcher.workers.get(name)
-    if seen is None:
+    """Return what determines how soon a worker is chosen now.
+
+    `height` is its load with one more job of one slot, `ours` and `others` are the slots held there,
+    `slowness` is run time over work, `warmth` the least share of its capacity, and `rests_for` the rest of
+    its ejection in ms. A worker that is not known is given as such.
+    """
+    known_worker = dispatcher.workers.get(name)
+    if known_worker is None:
         return {"known": False}
-    load, _ = dispatcher.load(seen, 1.0)
+    load, _ = dispatcher.load(known_worker, 1.0)
     return {
         "known": True,
-        "state": seen.state.value,
-        "ready": seen.ready,
+        "state": known_worker.state.value,
+        "ready": known_worker.ready,
         "height": load,
-        "ours": seen.our_slots,
-        "others": dispatcher.slots_of_others(seen),
-        "slots": dispatcher.slots(seen),
-        "slowness": dispatcher.slowness(seen),
-        "warmth": dispatcher.warmth(seen),
-        "failures_in_a_row": seen.failures_in_a_row,
-        "rests_for": max(0.0, seen.ejected_until - dispatcher.now),
-        "on_trial": seen.on_probation,
+        "ours": known_worker.our_slots,
+        "others": dispatcher.slots_of_others(known_worker),
+        "slots": dispatcher.slots(known_worker),
+        "slowness": dispatcher.slowness(known_worker),
+        "warmth": dispatcher.warmth(known_worker),
+        "failures_in_a_row": known_worker.failures_in_a_row,
+        "rests_for": max(0.0, known_worker.ejected_until - dispatcher.now),
+        "on_trial": known_worker.on_probation,
     }
 
 
 def request(dispatcher: Dispatcher, number: int) -> api.Facts:
-    """Return the state of an open request and what may still be done with it. Times are in ms."""
+    """Return the state of a request and what may still be done with it.
+
+    `out_at` names the workers of its open attempts, `may_have_run_at` those of ended attempts that may have
+    run, and `time_left` is the time to its deadline in ms. A request that has ended or is not known is not
+    open.
+    """
     job = dispatcher.jobs.get(number)
     if job is None:
         return {"open": False}
--- a/eiderpin/policy/__init__.py
+++ b/eiderpin/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the decision logic by concern. They do no I/O: events and a time go in, actions come out."""
+"""Parts of the decision logic, one module for each concern. None does I/O or reads a clock."""
--- a/eiderpin/policy/list_watch.py
+++ b/eiderpin/policy/list_watch.py
@@ -7,15 +7,17 @@
 
 from eiderpin import interface as api
 
-# Limit of the time from the start of a failed call to the next call: 6 s after discovery has a change and can
-# be reached, that change counts as delivered, whether it was received or not.
+# Upper limit of the time from the start of a failed call to the next call. 6 s after discovery has a change
+# and can be reached, that change counts as delivered, whether it was received or not.
 MAX_CALL_INTERVAL_MS = 4500.0
 FIRST_CALLS_SHARE = 0.15  # share of `ask_within` over which a fleet's first calls are spread
-MAX_FIRST_CALL_GAP_MS = 50.0  # between first calls: an instance that starts alone need not wait for others
+# Upper limit of the time between the first calls of two instances: one that starts alone need not wait for
+# others.
+MAX_FIRST_CALL_GAP_MS = 50.0
 FIRST_BACKOFF_SHARE = 0.05  # of `ask_within`, after a first failure; doubles with each failure in a row
-MAX_BACKOFF_SHARE = 0.5  # of `ask_within`
+MAX_BACKOFF_SHARE = 0.5  # of `ask_within`, upper limit of the doubled back-off
 SERVICE_ANSWER_MS = 300.0  # a list service answers a first call within this time unless down or overloaded
-AGENT_ANSWER_MS = 700.0  # the same for an agent on this host, which is silent only while discovery is down
+AGENT_ANSWER_MS = 700.0  # the same for an agent on this host, which does not answer while discovery is down
 
 
 class ListWatch:
@@ -28,6 +30,7 @@
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
+        """Create a watch that makes no call before `start`. `rng` spreads the calls of a fleet over time."""
         self._settings = settings
         self._rng = rng
         self._call_began_at = -math.inf  # of the call that is not answered yet
@@ -36,15 +39,17 @@
         self._held_until = -math.inf
 
     def start(self, now: float) -> None:
-        """Schedule the first call. Instances that start together take turns, or they would overload the one
-        list service."""
+        """Schedule the first call, if the list has to be asked for.
+
+        Instances that start together take turns, as they would overload the one list service.
+        """
         settings = self._settings
         if settings.must_ask:
             spread = min(FIRST_CALLS_SHARE * settings.ask_within, MAX_FIRST_CALL_GAP_MS * settings.instances)
             self._next_call_at = now + spread * (settings.instance + self._rng.random()) / settings.instances
 
     def record_list(self, event: api.Membership, now: float) -> None:
-        """Record that a list has come from discovery, or that a call for it has failed."""
+        """Record a list from discovery, current or stored, or that a call for it has failed."""
         if event.kind is api.ListKind.STORED:
             self._hold_stored_list(event, now)
             return
@@ -58,12 +63,18 @@
         self._call_began_at = -math.inf
 
     def _hold_stored_list(self, event: api.Membership, now: float) -> None:
+        """Hold a stored list back for as long as discovery may take to answer."""
         if event.is_being_asked:
             self._held_until = now + AGENT_ANSWER_MS
         elif self._settings.must_ask:
             self._held_until = math.inf  # `begin_call_if_due` sets the limit
 
     def _schedule_retry(self, now: float) -> None:
+        """Schedule the next call after a failed one, with an exponential back-off and jitter.
+
+        The next call begins within MAX_CALL_INTERVAL_MS of the start of the failed one, unless that took more
+        than half of this time.
+        """
         ask_within = self._settings.ask_within
         wait = max(self._backoff_ms, FIRST_BACKOFF_SHARE * ask_within)
         self._backoff_ms = min(2 * wait, MAX_BACKOFF_SHARE * ask_within)
@@ -77,7 +88,10 @@
         )
 
     def begin_call_if_due(self, now: float) -> bool:
-        """Whether a call for the list is to begin now; if so, it counts as begun."""
+        """Begin a call for the list if one is due, and return whether it has to be made now.
+
+        A call that is not answered within `ask_within` is given up, and the next one is due at once.
+        """
         if self._call_began_at > -math.inf and now - self._call_began_at > self._settings.ask_within:
             self._call_began_at, self._next_call_at = -math.inf, now  # the answer never came
         if now < self._next_call_at or self._call_began_at > -math.inf:
@@ -91,7 +105,7 @@
         return now < self._held_until
 
     def next_at(self, now: float) -> float:
-        """When this has to be looked at again without an event; infinity: never."""
+        """Return the time at which something is due here without an event; infinity: never."""
         due = self._next_call_at
         if self._call_began_at > -math.inf:
             due = min(due, self._call_began_at + self._settings.ask_within + self._settings.tick)
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -10,6 +10,9 @@
 
 ROOT = Path(__file__).parent.parent
 DOCUMENTED = (
+    "eiderpin/decide.py",
+    "eiderpin/explain.py",
+    "eiderpin/policy",
     "eiderpin/store",
     "eiderpin/fleet",
     "eiderpin/parts/observer.py",
