--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -60,7 +60,7 @@
 MAX_FAILED_TURNS = 4
 LATE_RESERVE_SHARE = 0.25  # share of a worker's slots that jobs past their latest start leave free
 MAX_EMPTY_ROUNDS = 2  # this many rounds in a row that place nothing end a turn: there is no room
-DEFAULT_SLOTS = 4.0  # slots of a worker where neither ratings nor reports give a number
+DEFAULT_SLOTS = 4.0  # assumed slots of a worker where neither ratings nor reports give a number
 LATE_START_MS = 100.0  # a start later than this shows that the worker was full
 QUEUED_MS = 60.0  # an attempt whose start is not reported by then shows that its worker is full
 # Jobs of all dispatchers that may wait for their start, for each worker of the fleet. One dispatcher may have
@@ -180,7 +180,7 @@
         self.confirmed = True  # False: known only from a stored list, which may be out of date
         self.open_attempts: dict[tuple[int, int], Attempt] = {}  # whose end was not reported, oldest first
         self.our_slots = 0.0  # needed by our attempts
-        self.others = -1.0  # slots held by others when last observed; -1: never observed
+        self.others = -1.0  # slots held by other dispatchers when last observed; -1: never observed
         self.others_at = 0.0
         self.slowdown = 1.0  # own run time over its shape's
         self.run_ratio = RunSums()
@@ -451,11 +451,11 @@
         self.ejections: list[tuple[float, str]] = []  # heap of (end of the ejection, worker's name)
         self.round_queues: dict[RoundKind, RoundQueue] = {}
         self.unstarted_by_zone: Counter[str] = Counter()  # our attempts that wait for their start
-        self.max_unstarted = 0  # limit of that, in each zone
+        self.max_unstarted = 0  # limit of their number in each zone
         self.last_wait_id = 0
         self.zone_departures: list[tuple[float, int, int, Job]] = []  # when a waiting job may leave its zone
         self.round_ms = max(GATHER_SHARE * min(c.aim for c in settings.classes), GATHER_TICKS * settings.tick)
-        self.class_work: dict[str, float] = {}  # mean run or hint of a class, in ms
+        self.class_work: dict[str, float] = {}  # by class, recent mean of its hints, or else of its runs (ms)
         self.class_earnings: dict[str, float] = {}  # recent share of its worth that a class's requests earned
         self.mean_worth = 0.0  # of a request that is answered in time
         self.start_delay_ms = [0.0, 0.0]  # recent mean time from send to start: in other zones, in our own
@@ -1037,8 +1037,9 @@
         """Whether a job has to wait until the starts of our other jobs show that there is room in the zone.
 
         That goes for a job that will be late at typical speed or is beyond its tenant's share: in a worker's
-        queue it would delay other dispatchers' jobs that are in time. While nothing of ours is open, one such
-        job may go, to find out.
+        queue it would delay other dispatchers' jobs that are in time. It may go while no job of ours waits
+        for its start in the zone, provided that starts come at once lately or nothing of ours is open
+        anywhere.
         """
         low_priority = job.worth_scale < 1.0 or self.now + self.mean_slowdown * job.work > job.aim_at
         return low_priority and bool(
