--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -39,9 +39,12 @@
 
 
 class FleetAtStart:
-    """So many dispatchers and workers that have all just started, so that nothing can be sent elsewhere.
+    """So many dispatchers, and workers that have all just started, so that every job goes to a cold worker.
 
-    A `busy` share of the dispatchers has four times the traffic of the others. One worker is observed."""
+    The constructor plays the whole warm-up. `per_worker` is the jobs per ms that the fleet gets for each
+    worker, and a `busy` share of the dispatchers gets four times as many as the others. What is sent to
+    worker `w0` is recorded.
+    """
 
     def __init__(self, instances: int, workers: int, per_worker: float, seed: int, busy: float = 0.0) -> None:
         self.rng = random.Random(f"{instances} {workers} {per_worker} {seed} {busy}")
@@ -62,13 +65,13 @@
             while next_job <= now:
                 next_job += self.rng.expovariate(rate)
                 work = MEAN_RUN_MS * self.rng.lognormvariate(-0.18, 0.6)
-                at = self.rng.choices(range(instances), weights)[0]
-                events.setdefault(at, []).append(api.Request(next(ids), "read", 8000.0, hint=work))
+                index = self.rng.choices(range(instances), weights)[0]
+                events.setdefault(index, []).append(api.Request(next(ids), "read", 8000.0, hint=work))
             while later and later[0][0] <= now:
-                _, _, at, event = heapq.heappop(later)
-                events.setdefault(at, []).append(event)
-            for at, dispatcher in enumerate(self.dispatchers):
-                received = events.get(at, [])
+                _, _, index, event = heapq.heappop(later)
+                events.setdefault(index, []).append(event)
+            for index, dispatcher in enumerate(self.dispatchers):
+                received = events.get(index, [])
                 if not received and dispatcher.timer_at > now:
                     continue
                 for sent in sends(
@@ -83,8 +86,8 @@
                     done = api.AttemptEnded(
                         sent.request, progress.attempt, sent.worker, api.Outcome.DONE, work, True
                     )
-                    heapq.heappush(later, (now + STEP_MS, next(ties), at, progress))
-                    heapq.heappush(later, (now + STEP_MS + work, next(ties), at, done))
+                    heapq.heappush(later, (now + STEP_MS, next(ties), index, progress))
+                    heapq.heappush(later, (now + STEP_MS + work, next(ties), index, done))
 
     def largest_excess(self) -> tuple[float, float]:
         """The most calls and the most mean work beyond N + 2 in any window, in multiples of sqrt(N)."""
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -32,7 +32,7 @@
 
 
 def test_after_a_failure_single_shots_go_to_trusted_workers() -> None:
-    """A worker that fails every other attempt is met by each dispatcher too rarely to be noticed. A worker
+    """A worker that fails every other attempt is used by each dispatcher too rarely to be noticed. A worker
     that has served this dispatcher lately is less often a bad one."""
     workers = {send_one(harness_with_trusted_workers(seed), 1, "pay").worker for seed in range(30)}
     assert workers <= {"w5", "w9"}
@@ -61,7 +61,7 @@
     assert len(sends(harness.advance(3 * harness.dispatcher.settings.tick))) == 1
 
 
-def test_a_single_shot_goes_elsewhere_when_trusted_workers_stay_full() -> None:
+def test_a_single_shot_goes_to_another_worker_when_trusted_workers_stay_full() -> None:
     """It waits for them only for a share of its aim; otherwise it would miss it."""
     harness = harness_with_trusted_workers(1)
     for name in ("w5", "w9"):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,7 +21,10 @@
 
 
 class Day:
-    """One dispatcher, a random fleet and random clients. `broken` lists what broke a rule."""
+    """A random scenario: one dispatcher, a random fleet and random clients.
+
+    `broken` lists in words what broke a rule; it has to stay empty.
+    """
 
     def __init__(self, seed: int, settings: api.Settings, jobs: int = 70, noise: bool = True) -> None:
         self.rng = random.Random(seed)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -137,9 +137,9 @@
     dispatcher.handle(1001.0, [*ahead, api.Request(99, "read", 4000.0, hint=100.0)])
     until = dispatcher.hopeless_from(dispatcher.jobs[99])
     assert until < dispatcher.jobs[99].deadline - 2000
-    for now, gone in ((until - 5.0, []), (until + 5.0, [99])):
+    for now, refused in ((until - 5.0, []), (until + 5.0, [99])):
         actions = dispatcher.handle(now, [api.TimerFired(dispatcher.timer_handle)])
-        assert [a.request for a in actions if isinstance(a, api.Refuse)] == gone
+        assert [a.request for a in actions if isinstance(a, api.Refuse)] == refused
 
 
 def serve_requests(
@@ -179,12 +179,12 @@
         first == "read"
     )
     dispatcher.handle(at, [listed([])])
-    asked = ("read", "pay", "read", "pay")
-    held = [api.Request(i, cls, 4000.0, hint=50.0) for i, cls in enumerate(asked)]
-    assert not sends(dispatcher.handle(at + 1, held))
+    queued = ("read", "pay", "read", "pay")
+    requests = [api.Request(i, cls, 4000.0, hint=50.0) for i, cls in enumerate(queued)]
+    assert not sends(dispatcher.handle(at + 1, requests))
     (queue,) = dispatcher.round_queues.values()
-    left = [j.spec.name for j in dispatcher.pop_jobs(queue)]
-    assert left[:2] == [first] * 2 and sorted(left) == sorted(asked)
+    popped = [j.spec.name for j in dispatcher.pop_jobs(queue)]
+    assert popped[:2] == [first] * 2 and sorted(popped) == sorted(queued)
 
 
 @pytest.mark.parametrize("start_delay", [20.0, 4 * LATE_START_MS])
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -347,7 +347,7 @@
 
 
 def test_a_filling_worker_is_probed_at_most_once_per_interval() -> None:
-    """More probes than reports would be load without news."""
+    """Probes more often than that would burden a full worker and bring nothing new."""
     harness = make_site("a", PROBED)
     probed = []
     for number in range(4):
@@ -403,12 +403,12 @@
 
 
 def test_the_start_timeout_grows_with_the_start_delays() -> None:
-    """With a fixed timeout, jobs in long queues would be cancelled and have to wait again elsewhere."""
+    """With a fixed timeout, jobs in long queues would be cancelled and wait again at another worker."""
     # Starts come at once, so one not reported in 600 ms never will be.
     assert cancels_after_a_missing_start(make_site("aaaa"))
     harness = make_site("aaaa")
     for _ in range(100):
-        harness.dispatcher.record_start_delay(400.0)  # queues are long, so it would wait again elsewhere
+        harness.dispatcher.record_start_delay(400.0)  # queues are long, so it would only wait again
     assert not cancels_after_a_missing_start(harness)
     assert [a for a in harness.advance(START_TIMEOUT_FACTOR * 450.0) if isinstance(a, api.Cancel)]
 
@@ -430,22 +430,22 @@
     assert isinstance(Dispatcher(wire.decode_settings({"classes": classes})[0], 1), Dispatcher)
 
 
-def test_jobs_leave_a_zone_whose_starts_are_later_than_elsewhere() -> None:
+def test_jobs_leave_a_zone_whose_starts_are_later_than_in_other_zones() -> None:
     """Dispatchers that each see few jobs of a worker find room at home and fill its queues together; only
-    late starts show it. Where starts are as late elsewhere, no job leaves because of them."""
-    for elsewhere, leaves in ((5.0, True), (2000.0, False)):
+    late starts show it. Where starts are as late in the other zone, no job leaves because of them."""
+    for delay_in_other_zone, leaves in ((5.0, True), (2000.0, False)):
         harness = make_site("aabb")
         harness.handle(api.Request(1, "book", 7500, hint=400.0), api.Request(2, "book", 7500, hint=400.0))
-        at = {1: harness.dispatcher.workers["a0"], 2: harness.dispatcher.workers["b2"]}
+        workers = {1: harness.dispatcher.workers["a0"], 2: harness.dispatcher.workers["b2"]}
         attempts = [
             harness.dispatcher.open_attempt(harness.dispatcher.jobs[n], 0, worker, harness.now)
-            for n, worker in at.items()
+            for n, worker in workers.items()
         ]
-        harness.now += elsewhere
+        harness.now += delay_in_other_zone
         harness.handle(api.Progress(2, 0, "b2", True))
         harness.now = attempts[0].sent_at + 2000.0
         harness.handle(api.Progress(1, 0, "a0", True))
         # as after many such starts
         harness.dispatcher.start_delay_ms = [delay * 20 for delay in harness.dispatcher.start_delay_ms]
         request_job(harness, 3, "book", 12.0, expires_in=7500.0)
-        assert harness.dispatcher.jobs[3].home_zone_only is not leaves, elsewhere
+        assert harness.dispatcher.jobs[3].home_zone_only is not leaves, delay_in_other_zone
