--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -308,7 +308,7 @@
     """Whether the rules allow another attempt of the job now, at some worker.
 
     Not once it has ended or its answer streams to the client, after the most attempts that the settings
-    allow, beside an open attempt unless the settings allow that, or against its repeat class.
+    allow, in parallel to an open attempt unless the settings allow it, or against its repeat class.
     """
     if job.ended or job.streaming or job.sends >= settings.max_attempts:
         return False
@@ -439,13 +439,13 @@
         limited = [t for t in settings.tenants if t.allowance_per_s > 0]
         self.buckets = {t.name: (0.0, 0.0, t.allowance_per_s / 1000.0 / settings.instances) for t in limited}
         self.pools: dict[RoundKind, Pool] = {}
-        self.whole_pool = self.pools[None, None, None, None] = Pool()
+        self.whole_pool = self.pools[None, None, None, None] = Pool()  # all ready workers
         self.rounds_by_class = False  # some worker runs certain classes only, so each round is of one class
-        self.in_service = 0
-        self.total_slots = 0.0
+        self.in_service = 0  # number of workers in service, ready or not
+        self.total_slots = 0.0  # of all workers in service
         self.our_slots = 0.0  # that our attempts take up, at all workers
         self.jobs: dict[int, Job] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # open ones, by (job's id, number)
         self.expiries: list[tuple[float, int]] = []  # heap of (when to look at it, job's id)
         self.unstarted: deque[Attempt] = deque()  # in the order sent
         self.ejections: list[tuple[float, str]] = []  # heap of (end of the ejection, worker's name)
@@ -455,7 +455,7 @@
         self.last_wait_id = 0
         self.zone_departures: list[tuple[float, int, int, Job]] = []  # when a waiting job may leave its zone
         self.round_ms = max(GATHER_SHARE * min(c.aim for c in settings.classes), GATHER_TICKS * settings.tick)
-        self.class_work: dict[str, float] = {}  # by class, recent mean of its hints, or else of its runs (ms)
+        self.class_work: dict[str, float] = {}  # by class, mean of hints and of runs without a hint (ms)
         self.class_earnings: dict[str, float] = {}  # recent share of its worth that a class's requests earned
         self.mean_worth = 0.0  # of a request that is answered in time
         self.start_delay_ms = [0.0, 0.0]  # recent mean time from send to start: in other zones, in our own
@@ -466,8 +466,8 @@
         self.trust_expiry: deque[tuple[float, str]] = deque()  # (time of a success, worker), in that order
         self.run_ratio = RunSums()
         self.mean_run_ms = max(min(c.aim for c in settings.classes), 1.0)  # learned, from the shortest aim on
-        self.timer_at = math.inf
-        self.timer_handle = 0
+        self.timer_at = math.inf  # when the pending timer is due; infinity: none is pending
+        self.timer_handle = 0  # of the latest timer
         self.list_watch = ListWatch(settings, self.rng)
         self.handlers = {
             api.Request: self.on_request, api.AttemptEnded: self.on_attempt_ended,
@@ -802,7 +802,10 @@
             self.actions.append(api.Probe(worker.name))
 
     def learn_report(self, worker: Worker, report: api.Report) -> None:
-        """Learn a worker's slots, and the load by others, from its report."""
+        """Learn a worker's slots, and the load by others, from its report. Each field may be missing.
+
+        Once about one job is queued, all slots are taken: their number is the jobs held less those queued.
+        """
         shape, queued = worker.shape, report.queued
         if not self.learns_slots_from_starts():  # reports are noisy, reported starts are not
             if report.free_slots is not None:
