--- a/benchmarks/crash_jobs.py
+++ b/benchmarks/crash_jobs.py
@@ -50,7 +50,7 @@
         durable = {"directory": str(ledger), "classes": ["result-post"], "silence_ms": 4000}
         program = Program(self.folder, [(w.name, w.port) for w in workers], durable)
         for worker in workers:
-            worker.back = program.edge
+            worker.callback_port = program.http_port
         for i in range(4):
             self.logs.append(RunLog(self.folder / f"gearman-{i}.ran"))
             rng = random.Random(self.rng.random())
@@ -83,7 +83,7 @@
             gearman = rng.random() < 0.5
             asks = 2 if rng.random() < 0.1 else 1  # some ask again after their answer, by either front
             for _ in range(asks):
-                ask, port = (ask_gearman, program.gearman) if gearman else (ask_http, program.edge)
+                ask, port = (ask_gearman, program.gearman) if gearman else (ask_http, program.http_port)
                 # By either front the same job has the same target and body.
                 try:
                     self.answers.setdefault(name, []).append(await ask(port, name, body))
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.rig import ROOT, HttpWorker, Program, RunLog, http_on
+from benchmarks.rig import ROOT, HttpWorker, Program, RunLog, http_request_on
 
 WORKERS, CLIENT_PROCESSES = 3, 3
 
@@ -35,7 +35,7 @@
         await worker.start()
         pipe.send(worker.port)
         while True:
-            worker.back = await asyncio.to_thread(pipe.recv)
+            worker.callback_port = await asyncio.to_thread(pipe.recv)
             worker.calls.clear()
 
     with contextlib.suppress(EOFError, KeyboardInterrupt):
@@ -51,7 +51,7 @@
         for number in numbers:
             begun = time.perf_counter()
             name = f"{mark}-{number}"
-            status, _, _ = await http_on(
+            status, _, _ = await http_request_on(
                 reader, writer, "POST", "/result-post", b"x" * 200, Idempotency_Key=f'"{name}"', Req_Id=name
             )
             times.append((time.perf_counter() - begun) * 1000)
@@ -78,7 +78,7 @@
     return pipes, ports, workers
 
 
-def serve_posts(
+def measure_posts(
     folder: Path, pipes: list[Connection], ports: list[int], args: Any, durable: bool, mark: str,
     store: dict[str, Any] | None = None,
 ) -> dict[str, float]:  # fmt: skip
@@ -88,17 +88,17 @@
     # Slots enough for all clients: it is the dispatcher that is measured, not its workers' room.
     program = Program(folder, [(f"w{i}", port) for i, port in enumerate(ports)], part, args.clients, store)
     for pipe in pipes:
-        pipe.send(program.edge)
+        pipe.send(program.http_port)
     program.start()
     asyncio.run(program.ready())
     assert program.process is not None
-    before = cpu(program.process.pid)
+    before = cpu_seconds(program.process.pid)
     begun = time.perf_counter()
     processes, ours = [], []
     for i in range(CLIENT_PROCESSES):
         mine, theirs = multiprocessing.Pipe()
         clients, posts = args.clients // CLIENT_PROCESSES, args.posts // CLIENT_PROCESSES
-        each = (theirs, program.edge, clients, posts, f"{mark}{i}")
+        each = (theirs, program.http_port, clients, posts, f"{mark}{i}")
         processes.append(multiprocessing.Process(target=client_process, args=each))
         processes[-1].start()
         ours.append(mine)
@@ -109,7 +109,7 @@
         times += got
         failed += bad
     took = time.perf_counter() - begun
-    used = cpu(program.process.pid) - before
+    used = cpu_seconds(program.process.pid) - before
     program.kill(signal.SIGTERM)
     for process in processes:
         process.join()
@@ -122,7 +122,7 @@
     }  # fmt: skip
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -214,7 +214,7 @@
         for turn in range(args.rounds):
             for durable in (False, True):
                 mark = f"t{turn}{'d' if durable else 'n'}"
-                runs[durable].append(serve_posts(folder / mark, pipes, ports, args, durable, mark))
+                runs[durable].append(measure_posts(folder / mark, pipes, ports, args, durable, mark))
         for process in workers:
             process.terminate()
         plain, kept = runs[False], runs[True]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -33,7 +33,7 @@
 from typing import Any
 
 from benchmarks.fleet_world import SLACK, Discovery, Rules, Worker, clock
-from benchmarks.rig import BROKEN, ROOT, Idle, free_port, http_on
+from benchmarks.rig import CONNECTION_ERRORS, ROOT, Idle, free_port, http_request_on
 
 CLASSES = {  # name: (share of requests, aim ms, deadline ms, mean work s, repeat)
     "time-lookup": (0.6, 250.0, 7500.0, 0.12, "free"),
@@ -174,7 +174,7 @@
         until = clock() + 60.0
         for dispatcher in self.dispatchers:
             while clock() < until:
-                with contextlib.suppress(*BROKEN):
+                with contextlib.suppress(*CONNECTION_ERRORS):
                     status, _ = await self.call(dispatcher.number, "GET", "/_health", {}, b"", 2.0)
                     if status == 200:
                         break
@@ -224,7 +224,7 @@
             try:
                 asked.status, asked.body = await self.call(target, "POST", f"/{cls}", headers, body,
                                                            deadline / 1000 + 2.0)  # fmt: skip
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 asked.status = -1
             except TimeoutError:
                 asked.status = 0
@@ -246,7 +246,7 @@
         )  # fmt: skip
         try:
             status, got, fields = await asyncio.wait_for(
-                http_on(reader, writer, method, path, body, **headers), within
+                http_request_on(reader, writer, method, path, body, **headers), within
             )
         except BaseException:
             writer.close()
--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -23,7 +23,7 @@
 
 from benchmarks import rig
 
-ENDED = (*rig.BROKEN, asyncio.CancelledError)  # a server's connection at the end of the run
+ENDED = (*rig.CONNECTION_ERRORS, asyncio.CancelledError)  # a server's connection at the end of the run
 WAITS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.5, 0.5, 0.5)  # s between the tries of a call-back
 SLACK = 0.05  # s: every time limit of the protocol is this much longer
 
@@ -101,7 +101,7 @@
         self.queue.clear()
         self.running.clear()
         self.used = 0
-        self.hang_up()
+        self.close_connections()
 
     # -- load
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -21,7 +21,7 @@
 from eiderpin.net.gearman import RESPONSE, Kind, Packet, Reader, pack
 
 ROOT = Path(__file__).parent.parent
-BROKEN = (OSError, EOFError, asyncio.IncompleteReadError)
+CONNECTION_ERRORS = (OSError, EOFError, asyncio.IncompleteReadError)
 Idle = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]  # connections to one address, kept open
 
 
@@ -82,11 +82,11 @@
         self, folder: Path, workers: list[tuple[str, int]], durable: dict[str, Any] | None, slots: int = 8,
         store: dict[str, Any] | None = None,
     ) -> None:  # fmt: skip
-        self.edge, self.gearman = free_port(), free_port()
+        self.http_port, self.gearman = free_port(), free_port()
         self.config, self.parts = folder / "config.json", folder / "parts.json"
         rows = [{"name": name, "address": f"127.0.0.1:{port}", "slots": slots} for name, port in workers]
-        said = {"name": "bench", "listen": f"127.0.0.1:{self.edge}", "workers": rows, "settings": settings(),
-                "limits": {"sockets": 4096, "memory_mb": 256}}  # fmt: skip
+        said = {"name": "bench", "listen": f"127.0.0.1:{self.http_port}", "workers": rows,
+                "settings": settings(), "limits": {"sockets": 4096, "memory_mb": 256}}  # fmt: skip
         self.config.write_text(json.dumps(said))
         parts: dict[str, Any] = {"gearman": {"listen": f"127.0.0.1:{self.gearman}"}}
         if durable is not None:
@@ -107,8 +107,8 @@
         """Raises `TimeoutError`."""
         async with asyncio.timeout(within):
             while True:
-                with contextlib.suppress(*BROKEN):
-                    status, _, _ = await http(self.edge, "GET", "/_health")
+                with contextlib.suppress(*CONNECTION_ERRORS):
+                    status, _, _ = await http_request(self.http_port, "GET", "/_health")
                     if status == 200:
                         return
                 await asyncio.sleep(0.01)
@@ -119,13 +119,13 @@
         self.process.wait()
 
 
-async def http(
+async def http_request(
     port: int, method: str, path: str, body: bytes = b"", **headers: str
 ) -> tuple[int, bytes, dict[str, str]]:
     """One request on a connection of its own."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
-        return await http_on(reader, writer, method, path, body, **headers)
+        return await http_request_on(reader, writer, method, path, body, **headers)
     finally:
         writer.close()
 
@@ -137,7 +137,7 @@
     return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-async def http_on(
+async def http_request_on(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, method: str, path: str, body: bytes = b"",
     **headers: str,
 ) -> tuple[int, bytes, dict[str, str]]:  # fmt: skip
@@ -149,7 +149,7 @@
 
 
 async def tell(
-    back: int, idle: Idle, news: dict[str, Any], waits: tuple[float, ...], silent: Callable[[], bool]
+    callback_port: int, idle: Idle, news: dict[str, Any], waits: tuple[float, ...], silent: Callable[[], bool]
 ) -> None:
     """A worker's call-back, tried until it is answered, at most once for each of `waits` (s between tries);
     not while the worker is `silent`."""
@@ -157,9 +157,9 @@
     for wait in waits:
         while silent():
             await asyncio.sleep(0.05)
-        with contextlib.suppress(*BROKEN):
-            reader, writer = idle.pop() if idle else await asyncio.open_connection("127.0.0.1", back)
-            status, _, _ = await http_on(reader, writer, "POST", "/_jobs/news", body)
+        with contextlib.suppress(*CONNECTION_ERRORS):
+            reader, writer = idle.pop() if idle else await asyncio.open_connection("127.0.0.1", callback_port)
+            status, _, _ = await http_request_on(reader, writer, "POST", "/_jobs/news", body)
             if status in (200, 204):
                 idle.append((reader, writer))
                 return
@@ -182,7 +182,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
 
-    def hang_up(self) -> None:
+    def close_connections(self) -> None:
         for writer in list(self.open):
             writer.close()
 
@@ -205,10 +205,10 @@
     """Takes a job with a 202, and tells of its end at most ten times, until it is answered."""
 
     def __init__(
-        self, name: str, log: RunLog, back: int, rng: random.Random, run: tuple[float, float]
+        self, name: str, log: RunLog, callback_port: int, rng: random.Random, run: tuple[float, float]
     ) -> None:
         super().__init__()
-        self.name, self.log, self.back, self.rng, self.run = name, log, back, rng, run
+        self.name, self.log, self.callback_port, self.rng, self.run = name, log, callback_port, rng, run
         self.tasks: set[asyncio.Task[None]] = set()
         self.calls: Idle = []
 
@@ -216,13 +216,13 @@
         """Close what is open, and wait for it: a task that is cancelled at the end makes asyncio complain."""
         if self.server is not None:
             self.server.close()
-        self.hang_up()
+        self.close_connections()
         while self.open:
             await asyncio.sleep(0.01)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open.add(writer)
-        with contextlib.suppress(*BROKEN):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
                 first, got, _ = await read_message(reader)
                 if first.startswith("POST"):
@@ -242,7 +242,7 @@
             await asyncio.sleep(self.rng.uniform(*self.run))
         news = {"id": job, "from": self.name, "state": "done", "result": f"ran {job}"}
         waits = (0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.5, 0.5, 0.5, 0.5)
-        await tell(self.back, self.calls, news, waits, lambda: False)
+        await tell(self.callback_port, self.calls, news, waits, lambda: False)
 
 
 class Gearman:
@@ -268,7 +268,7 @@
             self.waiting += [p for p in self.packets.feed(data) if isinstance(p, Packet)]
         return self.waiting.pop(0)
 
-    async def until(self, *kinds: Kind) -> Packet:
+    async def wait_for_packet(self, *kinds: Kind) -> Packet:
         while True:
             packet = await self.get()
             if packet.kind in kinds:
@@ -281,15 +281,15 @@
 async def gearman_worker(port: int, log: RunLog, rng: random.Random, run: tuple[float, float]) -> None:
     """Grabs and runs for ever; what it ran when its connection broke is lost with that, as usual there."""
     while True:
-        with contextlib.suppress(*BROKEN):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             peer = await Gearman.connect(port)
             peer.put(Kind.CAN_DO, b"result-post")
             while True:
                 peer.put(Kind.GRAB_JOB_UNIQ)
-                packet = await peer.until(Kind.NO_JOB, Kind.JOB_ASSIGN_UNIQ)
+                packet = await peer.wait_for_packet(Kind.NO_JOB, Kind.JOB_ASSIGN_UNIQ)
                 if packet.kind is Kind.NO_JOB:
                     peer.put(Kind.PRE_SLEEP)
-                    await peer.until(Kind.NOOP)
+                    await peer.wait_for_packet(Kind.NOOP)
                     continue
                 job = packet.args[2]
                 log.note(job.decode())
@@ -311,8 +311,10 @@
     """Ask, and by the same name again where the connection dies or the job is turned down."""
     for asked in range(1, 10_000):
         try:
-            status, result, got = await http(port, "POST", "/result-post", body, Idempotency_Key=f'"{name}"')
-        except BROKEN:
+            status, result, got = await http_request(
+                port, "POST", "/result-post", body, Idempotency_Key=f'"{name}"'
+            )
+        except CONNECTION_ERRORS:
             await asyncio.sleep(0.05)
             continue
         if status == 503:
@@ -330,9 +332,11 @@
             peer = await Gearman.connect(port)
             peer.put(Kind.OPTION_REQ, b"exceptions")
             peer.put(Kind.SUBMIT_JOB, b"result-post", name.encode(), body)
-            packet = await peer.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.WORK_EXCEPTION, Kind.ERROR)
+            packet = await peer.wait_for_packet(
+                Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.WORK_EXCEPTION, Kind.ERROR
+            )
             peer.close()
-        except BROKEN:
+        except CONNECTION_ERRORS:
             await asyncio.sleep(0.05)
             continue
         if packet.kind is Kind.ERROR:
--- a/benchmarks/scale/compare.py
+++ b/benchmarks/scale/compare.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.durable import cpu
+from benchmarks.durable import cpu_seconds
 from benchmarks.scale.fleet import OBSERVER_LIMIT, ScaleFleet
 from benchmarks.scale.run import BYTES_LIMIT, CPU_LIMIT, MEMORY_LIMIT
 from benchmarks.store import memory_mb
@@ -37,7 +37,7 @@
     members and observers a second, and the share of a core of each of the others."""
     members = [p.process.pid for p in cluster.all.values() if p.process is not None]
     pids = [p.process.pid for p in others if p.process is not None]
-    used, own = sum(map(cpu, members)), sum(map(cpu, pids))
+    used, own = sum(map(cpu_seconds, members)), sum(map(cpu_seconds, pids))
     moved, begun = traffic(cluster), time.monotonic()
     time.sleep(WINDOW / 2)
     store = cluster.store_client(10.0)
@@ -46,9 +46,9 @@
     time.sleep(WINDOW / 2)
     took = time.monotonic() - begun
     return {
-        "members_share": (sum(map(cpu, members)) - used) / took,
+        "members_share": (sum(map(cpu_seconds, members)) - used) / took,
         "bytes_per_s": (traffic(cluster) - moved) / took,
-        "each_share": (sum(map(cpu, pids)) - own) / took / max(1, len(pids)),
+        "each_share": (sum(map(cpu_seconds, pids)) - own) / took / max(1, len(pids)),
     }
 
 
@@ -119,9 +119,9 @@
             pids = [p.process.pid for p in processes if p.process is not None]
             shares = []
             for _ in range(repeats):
-                used, begun = sum(map(cpu, pids)), time.monotonic()
+                used, begun = sum(map(cpu_seconds, pids)), time.monotonic()
                 time.sleep(WINDOW)
-                shares.append((sum(map(cpu, pids)) - used) / (time.monotonic() - begun) / count)
+                shares.append((sum(map(cpu_seconds, pids)) - used) / (time.monotonic() - begun) / count)
             return {"each_share": statistics.median(shares), "memory_mb": max(map(memory_mb, pids))}
         finally:
             for process in processes:
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.durable import cpu
+from benchmarks.durable import cpu_seconds
 from benchmarks.rig import ROOT, free_port, settings
 from benchmarks.scale import bad_input
 from benchmarks.scale.fleet import ScaleFleet, percentile
@@ -101,7 +101,7 @@
             members = {}
             for name, pid in self.fleet.pids().items():
                 with contextlib.suppress(OSError):
-                    members[name] = cpu(pid)
+                    members[name] = cpu_seconds(pid)
             self.samples.append(Sample(time.monotonic(), members, self.fleet.figures()))
             if sys.stderr.isatty():
                 said = self.samples[-1].figures
@@ -276,10 +276,10 @@
     before = run.samples[-1].figures
     begun = time.monotonic()
     run.starts.append(begun)
-    used = {name: cpu(pid) for name, pid in run.fleet.pids().items()}
+    used = {name: cpu_seconds(pid) for name, pid in run.fleet.pids().items()}
     took = run.fleet.restart()
     run.notes["all_current_s"] = round(took, 1)
-    spent = {name: cpu(pid) - used[name] for name, pid in run.fleet.pids().items()}
+    spent = {name: cpu_seconds(pid) - used[name] for name, pid in run.fleet.pids().items()}
     run.notes["members_cpu_s_of_restart"] = {name: round(s, 2) for name, s in spent.items()}
     if not run.untimed and took > run.fleet.dispatchers / MOST_SNAPSHOTS_PER_S + RESTART_MARGIN:
         run.broken.append(f"all dispatchers were current only {took:.1f} s after a restart of all")
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from benchmarks.durable import cpu, serve_posts, start_workers
+from benchmarks.durable import cpu_seconds, measure_posts, start_workers
 from benchmarks.scale import decisions
 from benchmarks.scale.fleet import ScaleFleet
 from benchmarks.scale.measurement import Collector, Run, bare_loop, this_machine
@@ -75,7 +75,7 @@
 
         def once(size: float) -> dict[str, float]:
             turn = len(list(Path(folder).iterdir()))
-            found = serve_posts(Path(folder) / f"t{turn}", pipes, ports, args, False, f"t{turn}")
+            found = measure_posts(Path(folder) / f"t{turn}", pipes, ports, args, False, f"t{turn}")
             return {"job_ms": found["cpu_ms_per_post"]}
 
         try:
@@ -104,11 +104,11 @@
     """The share of a core of the leader and of the busiest follower, and their memory, over one window."""
     lead = cluster.leader()
     pids = {n: p.process.pid for n, p in cluster.all.items() if p.process is not None}
-    before = {n: cpu(pid) for n, pid in pids.items()}
+    before = {n: cpu_seconds(pid) for n, pid in pids.items()}
     begun = time.monotonic()
     time.sleep(WINDOW)
     took = time.monotonic() - begun
-    used = {n: (cpu(pid) - before[n]) / took for n, pid in pids.items()}
+    used = {n: (cpu_seconds(pid) - before[n]) / took for n, pid in pids.items()}
     others = [share for n, share in used.items() if n != lead]
     return {
         "leader_share": used[lead],
@@ -140,7 +140,7 @@
 
     def put_many(cluster: Cluster, count: int) -> None:
         def client(number: int) -> None:
-            store = StoreClient([cluster.all[lead].door], 30.0)
+            store = StoreClient([cluster.all[lead].management_address], 30.0)
             for place in range(count // 8):
                 store.put(f"c{number}/{place % 20}", VALUE)
             store.close()
@@ -161,9 +161,9 @@
                 def once() -> dict[str, float]:
                     lead = cluster.leader()
                     pids = {n: p.process.pid for n, p in cluster.all.items() if p.process is not None}
-                    before = {n: cpu(pid) for n, pid in pids.items()}
+                    before = {n: cpu_seconds(pid) for n, pid in pids.items()}
                     put_many(cluster, int(size))
-                    used = {n: (cpu(pid) - before[n]) * 1000.0 / size for n, pid in pids.items()}
+                    used = {n: (cpu_seconds(pid) - before[n]) * 1000.0 / size for n, pid in pids.items()}
                     directory = cluster.all[lead].directory
                     held = sum(file.stat().st_size for file in directory.iterdir())
                     return {"leader_ms": used[lead], "follower_ms": min(used.values()),
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from benchmarks.rig import BROKEN, ROOT, free_port, http
+from benchmarks.rig import CONNECTION_ERRORS, ROOT, free_port, http_request
 from benchmarks.soak import shim
 from benchmarks.soak.books import Books, Process, crossed, judge
 from benchmarks.soak.scenario import SERVERS, Scenario, draw
@@ -86,8 +86,8 @@
         """Raises `TimeoutError`."""
         async with asyncio.timeout(READY_WITHIN):
             while True:
-                with contextlib.suppress(*BROKEN):
-                    if (await http(self.port, "GET", "/_health"))[0] == 200:
+                with contextlib.suppress(*CONNECTION_ERRORS):
+                    if (await http_request(self.port, "GET", "/_health"))[0] == 200:
                         return
                 await asyncio.sleep(0.02)
 
@@ -156,7 +156,7 @@
         for server in servers:
             if server.server is not None:
                 server.server.close()
-            server.hang_up()
+            server.close_connections()
         return self.result()
 
     async def play_on(self, made: list[Dispatcher], servers: list[SoakServer]) -> None:
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from benchmarks.rig import BROKEN, Server, http_on, read_message
+from benchmarks.rig import CONNECTION_ERRORS, Server, http_request_on, read_message
 from benchmarks.soak.books import AttemptRecord, Books, RequestRecord
 from benchmarks.soak.scenario import Behaviour, Scenario
 
@@ -47,7 +47,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One connection of a dispatcher's."""
         self.open.add(writer)
-        with contextlib.suppress(*BROKEN):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
                 first, got, _ = await read_message(reader)
                 if not first.startswith("POST"):
@@ -96,10 +96,10 @@
         """A call-back, tried until it is answered, at most ten times."""
         body = json.dumps(said).encode()
         for wait in CALL_BACK_WAITS:
-            with contextlib.suppress(*BROKEN, TimeoutError):
+            with contextlib.suppress(*CONNECTION_ERRORS, TimeoutError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.back[dispatcher])
                 try:
-                    answer = http_on(reader, writer, "POST", "/_jobs/news", body)
+                    answer = http_request_on(reader, writer, "POST", "/_jobs/news", body)
                     status, _, _ = await asyncio.wait_for(answer, 2.0)
                 finally:
                     writer.close()
@@ -123,7 +123,7 @@
         """Until `going` is unset, with a new connection after each end."""
         while self.going:
             await asyncio.sleep(self.rng.uniform(*THINK))
-            with contextlib.suppress(*BROKEN):
+            with contextlib.suppress(*CONNECTION_ERRORS):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 try:
                     await self.use(reader, writer)
@@ -165,7 +165,7 @@
         except TimeoutError:
             record.left_at = None
             return False
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             record.ended_at = steady()
             record.reset = isinstance(error, OSError)
             return False
@@ -178,7 +178,7 @@
     """So many connections that say nothing."""
     opened = []
     for _ in range(count):
-        with contextlib.suppress(*BROKEN):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             opened.append(writer)
     return opened
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.durable import bare_loop, cpu, serve_posts, start_workers
+from benchmarks.durable import bare_loop, cpu_seconds, measure_posts, start_workers
 from benchmarks.rig import free_port
 from benchmarks.store_rig import Cluster, Process
 from eiderpin.store.client import StoreClient, StoreRequestError
@@ -40,7 +40,7 @@
     failed: list[str] = []
 
     def client(number: int) -> None:
-        store = StoreClient([cluster.all[lead].door], 20.0)
+        store = StoreClient([cluster.all[lead].management_address], 20.0)
         try:
             for i in range(total // clients):
                 begun = time.perf_counter()
@@ -70,7 +70,7 @@
         cluster.leader(other_than=lead)
         found.append((time.monotonic() - begun) / TIME_OUT)
         cluster.all[lead].start()
-        cluster.together()
+        cluster.wait_until_in_sync()
     return found
 
 
@@ -86,9 +86,9 @@
     lead = cluster.leader()
     process = next(p for n, p in cluster.all.items() if n != lead).process
     assert process is not None
-    before = cpu(process.pid)
+    before = cpu_seconds(process.pid)
     time.sleep(seconds)
-    used = cpu(process.pid) - before
+    used = cpu_seconds(process.pid) - before
     return {"cpu_share": round(used / seconds, 4), "memory_mb": round(memory_mb(process.pid), 1)}
 
 
@@ -97,7 +97,7 @@
     lead = cluster.leader()
     away = next(n for n in cluster.all if n != lead)
     cluster.all[away].kill()
-    doors = cluster.all[lead].door
+    doors = cluster.all[lead].management_address
 
     def client(number: int) -> None:
         store = StoreClient([doors], 30.0)
@@ -112,7 +112,7 @@
         thread.join()
     begun = time.monotonic()
     cluster.all[away].start()
-    cluster.together(120.0)
+    cluster.wait_until_in_sync(120.0)
     caught = time.monotonic() - begun
     said = cluster.statuses()[lead]
     for process in cluster.all.values():
@@ -133,7 +133,7 @@
     shares, failed = [], 0
     try:
         for turn in range(rounds):
-            off = serve_posts(folder / f"off{turn}", pipes, ports, asked, False, f"f{turn}")
+            off = measure_posts(folder / f"off{turn}", pipes, ports, asked, False, f"f{turn}")
             members = {f"m{i}": f"127.0.0.1:{free_port()}" for i in range(3)}
             others = [Process(folder, name, members, members[name]) for name in ("m1", "m2")]
             for process in others:
@@ -142,7 +142,7 @@
                 process.start()
             part = {"directory": str(folder / f"store{turn}"), "name": "m0", "cluster": "c1",
                     "listen": members["m0"], "members": members}  # fmt: skip
-            on = serve_posts(folder / f"on{turn}", pipes, ports, asked, False, f"n{turn}", part)
+            on = measure_posts(folder / f"on{turn}", pipes, ports, asked, False, f"n{turn}", part)
             for process in others:
                 process.kill()
             shares.append(on["posts_per_s"] / off["posts_per_s"])
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -45,7 +45,7 @@
 
     def store_client(self, within: float = 30.0) -> StoreClient:
         with self.lock:
-            doors = [p.door for p in self.cluster.all.values()]
+            doors = [p.management_address for p in self.cluster.all.values()]
             self.rng.shuffle(doors)
         return StoreClient(doors, within)
 
@@ -166,7 +166,7 @@
     def judge(self) -> None:
         say = self.broken.append
         try:
-            said = self.cluster.together(60.0)
+            said = self.cluster.wait_until_in_sync(60.0)
         except TimeoutError as error:
             say(str(error))
             return
@@ -196,7 +196,9 @@
                 say(f"{process.name} has not taken version {version}")
         images = {}
         for process in self.cluster.all.values():
-            rows = StoreClient([process.door], 10.0).ask("range", prefix="w/", most=1000, stale=True)
+            rows = StoreClient([process.management_address], 10.0).ask(
+                "range", prefix="w/", most=1000, stale=True
+            )
             images[process.name] = json.dumps(rows["documents"])
         if len(set(images.values())) != 1:
             say("the members hold different documents")
--- a/benchmarks/store_rig.py
+++ b/benchmarks/store_rig.py
@@ -24,11 +24,12 @@
         self.name, self.folder = name, folder / name
         self.folder.mkdir(exist_ok=True)
         self.directory = self.folder / "store"
-        self.edge, self.door = free_port(), f"127.0.0.1:{free_port()}"
+        self.http_port, self.management_address = free_port(), f"127.0.0.1:{free_port()}"
         self.listen = listen
         rows: list[Any] = []
-        said = {"name": name, "listen": f"127.0.0.1:{self.edge}", "management": self.door, "workers": rows,
-                "settings": settings(), "limits": {"sockets": 512, "memory_mb": 64}}  # fmt: skip
+        said = {"name": name, "listen": f"127.0.0.1:{self.http_port}", "management": self.management_address,
+                "workers": rows, "settings": settings(),
+                "limits": {"sockets": 512, "memory_mb": 64}}  # fmt: skip
         (self.folder / "config.json").write_text(json.dumps(said))
         self.parts: dict[str, Any] = {
             "store": {"directory": str(self.directory), "name": name, "cluster": cluster, "listen": listen,
@@ -60,7 +61,9 @@
 
     def status(self) -> dict[str, Any]:
         """Raises `StoreRequestError`."""
-        return StoreClient([self.door], 1.0)._call_once(self.door, {"op": "status"}, 2.0)
+        return StoreClient([self.management_address], 1.0)._call_once(
+            self.management_address, {"op": "status"}, 2.0
+        )
 
     def log(self) -> str:
         return self.errors.read_text() if self.errors.exists() else ""
@@ -105,7 +108,7 @@
         return process
 
     def store_client(self, within: float = 15.0, *names: str) -> StoreClient:
-        return StoreClient([self.all[n].door for n in names or self.all], within)
+        return StoreClient([self.all[n].management_address for n in names or self.all], within)
 
     def statuses(self) -> dict[str, dict[str, Any]]:
         found = {}
@@ -127,7 +130,7 @@
             time.sleep(0.02)
         raise TimeoutError("nobody leads")
 
-    def together(self, within: float = 20.0) -> dict[str, dict[str, Any]]:
+    def wait_until_in_sync(self, within: float = 20.0) -> dict[str, dict[str, Any]]:
         """Wait until all that are alive hold the same. Raises `TimeoutError`."""
         end = time.monotonic() + within
         said: dict[str, dict[str, Any]] = {}
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -24,7 +24,7 @@
 from eiderpin.net.gearman import RESPONSE, Kind, Packet, Reader, pack
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # s; no test waits as long unless something is broken
+TIMEOUT_SECONDS = 20.0  # s; no test waits as long unless something is broken
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -50,10 +50,10 @@
     return line.replace(".venv/bin/python", sys.executable)
 
 
-def wait_for(what: Callable[[], Any], text: str, within: float = PATIENCE) -> Any:
+def wait_for(what: Callable[[], Any], text: str, within: float = TIMEOUT_SECONDS) -> Any:
     """What `what` gives once it is true; `within` so many seconds."""
-    until = time.monotonic() + within
-    while time.monotonic() < until:
+    deadline = time.monotonic() + within
+    while time.monotonic() < deadline:
         got = what()
         if got:
             return got
@@ -97,17 +97,17 @@
         self.generation = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.told = 0  # the generation that the last answer held
+        self.served_generation = 0  # the generation that the last answer held
         self.silent = False
-        self.asked = 0
+        self.request_count = 0
         self.changed = threading.Condition()
         me = self
 
         class Handler(_Handler):
             def do_GET(self) -> None:
-                me.asked += 1
+                me.request_count += 1
                 if me.silent:
-                    time.sleep(PATIENCE)
+                    time.sleep(TIMEOUT_SECONDS)
                     return
                 query = dict(p.split("=") for p in self.path.partition("?")[2].split("&") if p)
                 after = int(query.get("after", -1))
@@ -117,7 +117,7 @@
                     rows = list(me.entries.values()) if whole else [e for g, e in me.changes if g > after]
                     said = {"generation": me.generation, "reset": whole, "instances": rows}
                     self.say(200, json.dumps(said).encode())
-                    me.told = me.generation
+                    me.served_generation = me.generation
 
         self.server = _Server(("127.0.0.1", 0), Handler)
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
@@ -138,16 +138,16 @@
 
 
 class HttpWorker:
-    """Counts what it is sent. `act` says what becomes of a job: a state for the call-back, or more."""
+    """Counts what it is sent. `on_job` says what becomes of a job: a state for the call-back, or more."""
 
-    def __init__(self, name: str, act: Callable[[HttpWorker, str, Any], None] | None = None) -> None:
+    def __init__(self, name: str, on_job: Callable[[HttpWorker, str, Any], None] | None = None) -> None:
         self.name = name
         self.ran: Counter[str] = Counter()
-        self.seen: list[tuple[str, str, dict[str, str], bytes]] = []  # method, path, headers, body
+        self.requests: list[tuple[str, str, dict[str, str], bytes]] = []  # method, path, headers, body
         self.connections = 0
-        self.back = ""  # where to call back
+        self.callback_address = ""  # where to call back
         self.load = b""  # what probes are told
-        self.act = act or (lambda worker, rid, handler: worker.serve(rid, handler))
+        self.on_job = on_job or (lambda worker, rid, handler: worker.serve(rid, handler))
         me = self
 
         class Handler(_Handler):
@@ -157,15 +157,15 @@
 
             def do_POST(self) -> None:
                 body = self.body()
-                me.seen.append(("POST", self.path, {k.lower(): v for k, v in self.headers.items()}, body))
-                me.act(me, self.headers["Req-Id"], self)
+                me.requests.append(("POST", self.path, {k.lower(): v for k, v in self.headers.items()}, body))
+                me.on_job(me, self.headers["Req-Id"], self)
 
             def do_DELETE(self) -> None:
-                me.seen.append(("DELETE", self.path, {}, b""))
+                me.requests.append(("DELETE", self.path, {}, b""))
                 self.say(204)
 
             def do_GET(self) -> None:
-                me.seen.append(("GET", self.path, {}, b""))
+                me.requests.append(("GET", self.path, {}, b""))
                 self.say(200, me.load)
 
         self.server = _Server(("127.0.0.1", 0), Handler)
@@ -175,11 +175,11 @@
     def serve(self, rid: str, handler: Any) -> None:
         self.ran[rid] += 1
         handler.say(202)
-        self.tell(rid, "done", result=f"{self.name} ran {rid}")
+        self.send_callback(rid, "done", result=f"{self.name} ran {rid}")
 
-    def tell(self, rid: str, state: str, **more: Any) -> int:
+    def send_callback(self, rid: str, state: str, **more: Any) -> int:
         body = json.dumps({"id": rid, "from": self.name, "state": state, **more}).encode()
-        return http_call(self.back, "POST", "/_jobs/news", body)[0]
+        return http_call(self.callback_address, "POST", "/_jobs/news", body)[0]
 
     def stop(self) -> None:
         self.server.shutdown()
@@ -190,7 +190,7 @@
     address: str, method: str, path: str, body: bytes = b"", **headers: str
 ) -> tuple[int, bytes, dict[str, str]]:
     host, port = address.split(":")
-    conn = http.client.HTTPConnection(host, int(port), timeout=PATIENCE)
+    conn = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_SECONDS)
     try:
         conn.request(method, path, body, {k.replace("_", "-"): v for k, v in headers.items()})
         response = conn.getresponse()
@@ -199,7 +199,7 @@
         conn.close()
 
 
-def rest(sock: socket.socket) -> bytes:
+def read_to_end(sock: socket.socket) -> bytes:
     """What still comes, until the connection ends."""
     got = b""
     with contextlib.suppress(ConnectionResetError):
@@ -213,7 +213,7 @@
 
     def __init__(self, address: str) -> None:
         host, port = address.split(":")
-        self.sock = socket.create_connection((host, int(port)), timeout=PATIENCE)
+        self.sock = socket.create_connection((host, int(port)), timeout=TIMEOUT_SECONDS)
         self.reader = Reader(RESPONSE)
         self.waiting: list[Packet] = []
 
@@ -232,7 +232,7 @@
         self.put(kind, *args)
         return self.get()
 
-    def until(self, *kinds: Kind) -> Packet:
+    def wait_for_packet(self, *kinds: Kind) -> Packet:
         while True:
             packet = self.get()
             if packet.kind in kinds:
@@ -246,11 +246,14 @@
     """Grabs jobs in a thread of its own, counts them and acts on them."""
 
     def __init__(
-        self, address: str, functions: list[str], act: Callable[[GearmanWorker, Packet], bool] | None = None
+        self,
+        address: str,
+        functions: list[str],
+        on_job: Callable[[GearmanWorker, Packet], bool] | None = None,
     ) -> None:
         self.peer = GearmanPeer(address)
         self.ran: Counter[bytes] = Counter()  # by unique id
-        self.act = act
+        self.on_job = on_job
         self.jobs: queue.Queue[Packet] = queue.Queue()
         for function in functions:
             self.peer.put(Kind.CAN_DO, function.encode())
@@ -261,15 +264,15 @@
         try:
             while True:
                 self.peer.put(Kind.GRAB_JOB_UNIQ)
-                packet = self.peer.until(Kind.NO_JOB, Kind.JOB_ASSIGN_UNIQ)
+                packet = self.peer.wait_for_packet(Kind.NO_JOB, Kind.JOB_ASSIGN_UNIQ)
                 if packet.kind is Kind.NO_JOB:
                     self.peer.put(Kind.PRE_SLEEP)
-                    self.peer.until(Kind.NOOP)
+                    self.peer.wait_for_packet(Kind.NOOP)
                     continue
                 self.ran[packet.args[2]] += 1
                 self.jobs.put(packet)
-                if self.act is not None:
-                    if not self.act(self, packet):
+                if self.on_job is not None:
+                    if not self.on_job(self, packet):
                         return
                 else:
                     self.peer.put(Kind.WORK_COMPLETE, packet.args[0], b"gearman ran " + packet.args[2])
@@ -279,11 +282,11 @@
     def close(self) -> None:
         with contextlib.suppress(OSError):
             self.peer.sock.shutdown(socket.SHUT_RDWR)
-        self.thread.join(PATIENCE)
+        self.thread.join(TIMEOUT_SECONDS)
         self.peer.close()
 
 
-class Inherited:
+class InheritedSocket:
     """The listening socket that the platform holds, and the folder that an old and a new process share."""
 
     def __init__(self, depth: int = 0) -> None:
@@ -302,7 +305,7 @@
 
     def __init__(
         self, discovery: Discovery, optimized: bool = True, fronts: tuple[str, ...] | dict[str, str] = (),
-        inherits: Inherited | None = None, durable: dict[str, Any] | None = None, prelude: str = "",
+        inherits: InheritedSocket | None = None, durable: dict[str, Any] | None = None, prelude: str = "",
         store: dict[str, Any] | None = None, platform: bool = False,
         **config: Any,
     ) -> None:  # fmt: skip
@@ -345,9 +348,9 @@
             first += self.process.stderr.read()
         self.at = dict(part.split("=") for part in first.split() if part.count("=") == 1)
         assert "edge" in self.at, first
-        self.edge = self.at["edge"]
-        self.reading = threading.Thread(target=self._read, daemon=True)
-        self.reading.start()
+        self.http_address = self.at["edge"]
+        self.reader_thread = threading.Thread(target=self._read, daemon=True)
+        self.reader_thread.start()
 
     def _read(self) -> None:
         assert self.process.stderr is not None
@@ -355,9 +358,9 @@
             self.lines.append(line.rstrip())
 
     def ready(self) -> None:
-        wait_for(lambda: http_call(self.edge, "GET", "/_health")[0] == 200, "the program to be ready")
+        wait_for(lambda: http_call(self.http_address, "GET", "/_health")[0] == 200, "the program to be ready")
 
-    def hang_up(self, text: str | None = None, **config: Any) -> None:
+    def reload_config(self, text: str | None = None, **config: Any) -> None:
         """Replace the configuration and have it read again."""
         self.said = {**self.said, **config}
         self.config.write_text(json.dumps(self.said) if text is None else text)
@@ -376,10 +379,10 @@
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
-            code = self.process.wait(PATIENCE)
+            code = self.process.wait(TIMEOUT_SECONDS)
         finally:
             self.process.kill()
-        self.reading.join(PATIENCE)
+        self.reader_thread.join(TIMEOUT_SECONDS)
         assert self.process.stderr is not None
         self.process.stderr.close()
         self.folder.cleanup()
@@ -387,7 +390,7 @@
 
 
 @contextlib.contextmanager
-def running(
+def running_program(
     workers: list[HttpWorker],
     optimized: bool = True,
     fronts: tuple[str, ...] = (),
@@ -402,7 +405,7 @@
     program = Program(discovery, optimized, fronts, **config)
     try:
         for worker in workers:
-            worker.back = program.edge
+            worker.callback_address = program.http_address
         if workers:
             program.ready()
         yield program, discovery
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -67,9 +67,9 @@
             wait_for(lambda: all(len(whole(p.log())) == 2 for p in it.all.values()), "all to be back")
             lives = [life for p in it.all.values() for life in whole(p.log())]
             assert len(set(lives)) == 6
-            shown = eiderpin("dispatchers", "--door", it.all["m0"].door).stdout.splitlines()
+            shown = eiderpin("dispatchers", "--door", it.all["m0"].management_address).stdout.splitlines()
             for name, process in it.all.items():
-                assert door(process.door, "ready").startswith("ok up 100%")
+                assert door(process.management_address, "ready").startswith("ok up 100%")
                 (line,) = [row for row in shown if row.startswith(name)]
                 assert whole(process.log())[-1].rpartition("/")[2] in line and "known" in line
             assert not [p.log() for p in it.all.values() if "Traceback" in p.log()]
@@ -89,10 +89,10 @@
             for process in it.all.values():
                 process.kill()
             it.all["m0"].start("from eiderpin.fleet import comeback\ncomeback.ALONE = 1500.0")
-            said = wait_for(lambda: ready(it.all["m0"].door), "it to answer")
+            said = wait_for(lambda: ready(it.all["m0"].management_address), "it to answer")
             assert re.match(r"ok up (25|50)%.*coming back: (blank|listed)", said), said
-            wait_for(lambda: "alone" in ready(it.all["m0"].door), "it to go on alone")
-            assert ready(it.all["m0"].door).startswith("ok up 100%")
+            wait_for(lambda: "alone" in ready(it.all["m0"].management_address), "it to go on alone")
+            assert ready(it.all["m0"].management_address).startswith("ok up 100%")
             it.all["m1"].start()
             wait_for(lambda: len(whole(it.all["m0"].log())) == 2, "the store to be caught up with")
         finally:
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -17,7 +17,16 @@
 from eiderpin.configuration import ConfigError
 from eiderpin.net.static_list import read_workers
 from eiderpin.parts import durable as durable_options
-from tests.standins import ROOT, SETTINGS, Discovery, HttpWorker, Program, http_call, running, wait_for
+from tests.standins import (
+    ROOT,
+    SETTINGS,
+    Discovery,
+    HttpWorker,
+    Program,
+    http_call,
+    running_program,
+    wait_for,
+)
 
 
 def eiderpin(*args: str, **env: str) -> subprocess.CompletedProcess[str]:
@@ -70,8 +79,8 @@
     def test_each_event_is_one_line_in_both_formats(self) -> None:
         """Guards against lines of the logfmt and JSON formats that lack a field or that programs cannot
         read."""
-        with running([HttpWorker("h1")]) as (program, _):
-            program.hang_up("nonsense")
+        with running_program([HttpWorker("h1")]) as (program, _):
+            program.reload_config("nonsense")
             wait_for(lambda: len(program.lines) == 1, "the line that reports the failed reload")
             self.assertRegex(
                 program.lines[0], r'^time="\S+ \S+" level=WARNING msg="not reloaded.*" dispatcher=t1$'
@@ -100,8 +109,8 @@
             with self.subTest(level=level):
                 os.environ["EIDERPIN_LOG_LEVEL"] = level
                 try:
-                    with running([HttpWorker("h1")]) as (program, _):
-                        http_call(program.edge, "POST", "/time-lookup", Req_Id="a1")
+                    with running_program([HttpWorker("h1")]) as (program, _):
+                        http_call(program.http_address, "POST", "/time-lookup", Req_Id="a1")
                         program.counters()  # returns once all earlier lines have been written
                         ended_lines = [
                             line
@@ -131,22 +140,23 @@
         program = Program(discovery, workers=rows)
         try:
             for worker in workers:
-                worker.back = program.edge
+                worker.callback_address = program.http_address
 
             def serving_workers(series: int) -> set[str]:
                 """The names of the workers that answer 30 jobs, whose ids begin with `series`."""
                 answers = [
-                    http_call(program.edge, "POST", "/time-lookup", Req_Id=f"{series}-{i}") for i in range(30)
+                    http_call(program.http_address, "POST", "/time-lookup", Req_Id=f"{series}-{i}")
+                    for i in range(30)
                 ]
                 self.assertEqual({answer[0] for answer in answers}, {200})
                 return {answer[1].decode().split()[0] for answer in answers}
 
-            wait_for(lambda: discovery.told, "the answer of discovery")
+            wait_for(lambda: discovery.served_generation, "the answer of discovery")
             program.ready()
             wait_for(lambda: serving_workers(0) == {"s1", "s2", "d1"}, "all three to serve")
-            program.hang_up(workers=[{**rows[0], "state": "draining"}])  # s2 is no longer listed
+            program.reload_config(workers=[{**rows[0], "state": "draining"}])  # s2 is no longer listed
             wait_for(lambda: workers and serving_workers(1) == {"d1"}, "the listed workers to get no jobs")
-            program.hang_up(workers=[{"name": "x"}])
+            program.reload_config(workers=[{"name": "x"}])
             wait_for(lambda: any("workers[0].address" in line for line in program.lines), "the rejection")
             self.assertEqual(serving_workers(2), {"d1"})
         finally:
--- a/tests/test_crash.py
+++ b/tests/test_crash.py
@@ -54,7 +54,7 @@
         self.go.wait(20)
         for _ in range(100):  # as the platform's workers do, until it is answered
             with contextlib.suppress(OSError):
-                status = self.worker.tell(rid, "done", result=f"ran {rid}")
+                status = self.worker.send_callback(rid, "done", result=f"ran {rid}")
                 self.statuses.append(status)
                 if status in (200, 204):
                     return
@@ -74,11 +74,11 @@
 
     def start(self, prelude: str = "") -> Program:
         last = self.programs[-1] if self.programs else None
-        listen = {"listen": last.edge} if last is not None else {}
+        listen = {"listen": last.http_address} if last is not None else {}
         fronts: Any = {"gearman": last.at["gearman"]} if last is not None else ("gearman",)
         program = Program(self.discovery, fronts=fronts, durable=self.durable, prelude=prelude, **listen)
         self.programs.append(program)
-        self.held_worker.worker.back = program.edge
+        self.held_worker.worker.callback_address = program.http_address
         program.ready()
         return program
 
@@ -109,7 +109,7 @@
 
 
 def post(program: Program, name: str, body: bytes = b"x") -> tuple[int, bytes]:
-    return http_call(program.edge, "POST", "/result-post", body, Idempotency_Key=f'"{name}"')[:2]
+    return http_call(program.http_address, "POST", "/result-post", body, Idempotency_Key=f'"{name}"')[:2]
 
 
 def post_in_background(program: Program, name: str) -> threading.Thread:
@@ -175,9 +175,9 @@
         with run_installation() as it:
             first = it.start()
             it.discovery.list("h1", it.held_worker.worker.port, lifecycle="Terminating")
-            wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 503, "the worker's drain")
+            wait_for(lambda: http_call(first.http_address, "GET", "/_health")[0] == 503, "the worker's drain")
             worker = GearmanWorker(first.at["gearman"], ["result-post"], lambda worker, packet: False)
-            wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 200, "the Gearman worker")
+            wait_for(lambda: http_call(first.http_address, "GET", "/_health")[0] == 200, "the Gearman worker")
             post_in_background(first, "a1")
             wait_for(lambda: worker.ran[b"a1"], "the job to be out")
             it.kill()
@@ -197,16 +197,18 @@
             post_in_background(other, "b1")
             wait_for(lambda: it.ran["a1"] and it.ran["b1"], "both jobs to be out")
             it.kill()  # the other one
-            again = Program(it.discovery, durable={**it.durable, "directory": folder}, listen=other.edge)
+            again = Program(
+                it.discovery, durable={**it.durable, "directory": folder}, listen=other.http_address
+            )
             it.programs.append(again)
             for _ in range(8):  # over twice the silence
                 for program, name in ((first, "a1"), (again, "b1")):
-                    it.held_worker.worker.back = program.edge
-                    self.assertEqual(it.held_worker.worker.tell(name, "running", share=0.1), 204)
+                    it.held_worker.worker.callback_address = program.http_address
+                    self.assertEqual(it.held_worker.worker.send_callback(name, "running", share=0.1), 204)
                 threading.Event().wait(0.4)
             for program, name in ((first, "a1"), (again, "b1")):
-                it.held_worker.worker.back = program.edge
-                self.assertEqual(it.held_worker.worker.tell(name, "done", result=f"ran {name}"), 204)
+                it.held_worker.worker.callback_address = program.http_address
+                self.assertEqual(it.held_worker.worker.send_callback(name, "done", result=f"ran {name}"), 204)
                 self.assertEqual(post(program, name), (200, f"ran {name}".encode()))
             self.assertEqual(it.ran, {"a1": 1, "b1": 1})
 
@@ -276,7 +278,7 @@
         with run_installation() as it:
             first = it.start()
             it.discovery.list("h1", it.held_worker.worker.port, lifecycle="Terminating")
-            wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 503, "the worker's drain")
+            wait_for(lambda: http_call(first.http_address, "GET", "/_health")[0] == 503, "the worker's drain")
             peer = GearmanPeer(first.at["gearman"])
             handle = peer.ask(Kind.SUBMIT_JOB_BG, b"result-post", b"b1", b"x")
             self.assertIs(handle.kind, Kind.JOB_CREATED)
@@ -290,7 +292,7 @@
             self.assertEqual(status.args[1], b"1")
             it.held_worker.go.set()
             peer.put(Kind.SUBMIT_JOB, b"result-post", b"b1", b"x")
-            self.assertEqual(peer.until(Kind.WORK_COMPLETE).args[1], b"ran b1")
+            self.assertEqual(peer.wait_for_packet(Kind.WORK_COMPLETE).args[1], b"ran b1")
             self.assertIs(peer.ask(Kind.SUBMIT_JOB, b"result-post", b"b1", b"other").kind, Kind.ERROR)
             peer.close()
             self.assertEqual(it.ran, {"b1": 1})
@@ -318,10 +320,10 @@
             limits = resource.prlimit(pid, resource.RLIMIT_FSIZE, (1, -1))  # no file may grow
             wait_for(lambda: post(program, "a2")[0] == 503, "a turn-down")
             path = "/result-post"
-            status, _, headers = http_call(program.edge, "POST", path, b"x", Idempotency_Key="a3")
+            status, _, headers = http_call(program.http_address, "POST", path, b"x", Idempotency_Key="a3")
             self.assertEqual(status, 503)
             self.assertIn("retry-after", headers)
-            self.assertEqual(http_call(program.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
+            self.assertEqual(http_call(program.http_address, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             self.assertEqual(post(program, "a1"), (200, b"ran a1"))  # what was kept is told
             resource.prlimit(pid, resource.RLIMIT_FSIZE, limits)
             wait_for(lambda: post(program, "a4")[0] == 200, "the disk to come back")
@@ -380,7 +382,7 @@
             wait_for(lambda: it.ran["a1"], "the job to be out")
             it.kill()
             second = it.start()
-            self.assertEqual(it.held_worker.worker.tell("a1", "lost"), 204)
+            self.assertEqual(it.held_worker.worker.send_callback("a1", "lost"), 204)
             self.assertEqual(post(second, "a1")[0], 500)  # it may have run
             self.assertEqual(it.ran, {"a1": 1})
 
@@ -398,7 +400,7 @@
             said(old, TOOK)
             # The old one has the ledger until it is to end; here such jobs are turned down meanwhile.
             self.assertEqual(post(new, "q2")[0], 503)
-            self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q3")[0], 200)
+            self.assertEqual(http_call(new.http_address, "POST", "/time-lookup", Req_Id="q3")[0], 200)
             old.process.send_signal(signal.SIGTERM)
             said(new, "recovered jobs: 0 place, 1 wait, 0 late")
             self.assertEqual(old.process.wait(20), 0)  # with its job still out, and its clients waiting
@@ -418,7 +420,7 @@
             old = it.serving(durable=durable, fronts=("gearman",))
             peer = GearmanPeer(old.at["gearman"])
             peer.put(Kind.SUBMIT_JOB, b"time-lookup", b"l1", b"x")  # keeps the old one up: it cannot move
-            peer.until(Kind.JOB_CREATED)
+            peer.wait_for_packet(Kind.JOB_CREATED)
             client = post_in_background(old, "s1")
             wait_for(lambda: it.held.worker.ran["s1"] and it.held.worker.ran["l1"], "the jobs to be out")
             new = it.serving(durable=durable)
@@ -431,7 +433,7 @@
             said(old, "recovered jobs: 0 place, 1 wait, 0 late")
             it.held.go.set()
             self.assertEqual(post(old, "s1"), (200, b"ran s1"))
-            self.assertEqual(peer.until(Kind.WORK_COMPLETE).args[1], b"ran l1")
+            self.assertEqual(peer.wait_for_packet(Kind.WORK_COMPLETE).args[1], b"ran l1")
             peer.close()
             self.assertEqual(old.process.wait(20), 0)
             self.assertEqual(it.held.worker.ran["s1"], 1)
--- a/tests/test_gearman.py
+++ b/tests/test_gearman.py
@@ -19,7 +19,15 @@
     Reader,
     pack,
 )
-from tests.standins import SETTINGS, GearmanPeer, GearmanWorker, HttpWorker, http_call, running, wait_for
+from tests.standins import (
+    SETTINGS,
+    GearmanPeer,
+    GearmanWorker,
+    HttpWorker,
+    http_call,
+    running_program,
+    wait_for,
+)
 from tests.test_mixed import count_workers, send_admin_command, submit_and_wait
 
 REQ = b"\0REQ"
@@ -75,7 +83,7 @@
 
 class Front(unittest.TestCase):
     def test_an_invalid_packet_gets_an_error_and_the_connection_stays_usable_if_possible(self) -> None:
-        with running([HttpWorker("h1")], fronts=("gearman",)) as (program, _):
+        with running_program([HttpWorker("h1")], fronts=("gearman",)) as (program, _):
             peer = GearmanPeer(program.at["gearman"])
             cases = [
                 (header(999, 0), b"UNKNOWN_COMMAND"),
@@ -99,7 +107,7 @@
             peer.close()
 
     def test_status_of_a_background_job_and_the_text_protocol(self) -> None:
-        with running([], fronts=("gearman",)) as (program, _):
+        with running_program([], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
             client, worker = GearmanPeer(address), GearmanPeer(address)
             handle = client.ask(Kind.SUBMIT_JOB_BG, b"result-post", b"bg", b"x").args[0]
@@ -130,7 +138,7 @@
             worker.close()
 
     def test_partial_data_and_progress_reach_the_client(self) -> None:
-        with running([], fronts=("gearman",)) as (program, _):
+        with running_program([], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
 
             def act(worker: GearmanWorker, job: Packet) -> bool:
@@ -154,7 +162,7 @@
             worker.close()
 
     def test_a_worker_gets_only_jobs_of_its_functions(self) -> None:
-        with running([], fronts=("gearman",)) as (program, _):
+        with running_program([], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
             workers = {cls: GearmanWorker(address, [cls]) for cls in ("time-lookup", "result-post")}
             wait_for(lambda: all(count_workers(address, cls) == 1 for cls in workers), "the workers")
@@ -162,7 +170,9 @@
             for i in range(16):
                 cls = list(workers)[i % 2]
                 self.assertIs(submit_and_wait(client, cls, f"{cls}-{i}").kind, Kind.WORK_COMPLETE)
-                self.assertEqual(http_call(program.edge, "POST", f"/{cls}", Req_Id=f"{cls}-h{i}")[0], 200)
+                self.assertEqual(
+                    http_call(program.http_address, "POST", f"/{cls}", Req_Id=f"{cls}-h{i}")[0], 200
+                )
             for cls, worker in workers.items():
                 self.assertEqual(len(worker.ran), 16)
                 self.assertTrue(all(unique.startswith(cls.encode()) for unique in worker.ran))
@@ -175,7 +185,7 @@
         settings = copy.deepcopy(SETTINGS)
         for spec in settings["classes"]:
             spec["hard_limit"] = 600.0
-        with running([], fronts=("gearman",), settings=settings) as (program, _):
+        with running_program([], fronts=("gearman",), settings=settings) as (program, _):
             address = program.at["gearman"]
             client = GearmanPeer(address)
             start = time.monotonic()
@@ -183,7 +193,7 @@
             self.assertLess(time.monotonic() - start, 0.6)
             self.assertIs(client.ask(Kind.OPTION_REQ, b"exceptions").kind, Kind.OPTION_RES)
             client.put(Kind.SUBMIT_JOB, b"time-lookup", b"b", b"")
-            exception = client.until(Kind.WORK_EXCEPTION)
+            exception = client.wait_for_packet(Kind.WORK_EXCEPTION)
             self.assertRegex(exception.args[1], rb"^turned down, come back after \d\.\d+ s$")
             self.assertIs(client.get().kind, Kind.WORK_FAIL)
             client.close()
@@ -191,7 +201,7 @@
     def test_a_worker_that_fails_a_job_or_never_grabs_it(self) -> None:
         """WORK_FAIL is an error: a result-post may have run, and is not run again. A job that is not grabbed
         in time is given to another worker."""
-        with running([], fronts=("gearman",)) as (program, _):
+        with running_program([], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
 
             def fail(worker: GearmanWorker, job: Packet) -> bool:
@@ -210,7 +220,7 @@
             client.put(Kind.SUBMIT_JOB, b"result-post", b"g", b"")
             wait_for(lambda: program.counters().get("out.ended.rejected"), "the job to be taken back")
             good = GearmanWorker(address, ["result-post"])
-            self.assertIs(client.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL).kind, Kind.WORK_COMPLETE)
+            self.assertIs(client.wait_for_packet(Kind.WORK_COMPLETE, Kind.WORK_FAIL).kind, Kind.WORK_COMPLETE)
             self.assertIs(unresponsive.ask(Kind.GRAB_JOB).kind, Kind.NO_JOB)
             self.assertEqual(good.ran, {b"g": 1})
             for peer in (client, unresponsive, good):
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -170,7 +170,7 @@
 def three() -> Iterator[Cluster]:
     with cluster() as it:
         wait_for(lambda: len(it.statuses()) == 3, "all three to answer")
-        it.together()
+        it.wait_until_in_sync()
         yield it
 
 
@@ -193,7 +193,7 @@
 def test_two_that_are_left_with_one_empty_disk_wait_for_the_third(three: Cluster) -> None:
     leader, behind, lost = alone_with_a_lost_disk(three)
     with pytest.raises(StoreRequestError) as failed:
-        StoreClient([three.all[n].door for n in (behind, lost)], 4.0).put("new", b"1")
+        StoreClient([three.all[n].management_address for n in (behind, lost)], 4.0).put("new", b"1")
     assert failed.value.kind == "no-leader"
     three.all[leader].start()
     assert three.store_client(20.0).get("kept")[0] == b"acknowledged"
@@ -203,7 +203,7 @@
         return lost in config["voters"] and config["disks"][lost] == three.all[lost].status()["disk"]
 
     wait_for(voter_again, "the emptied one to be a voter again, by itself")
-    three.together()
+    three.wait_until_in_sync()
     assert three.store_client(20.0, lost).get("kept")[0] == b"acknowledged"
 
 
@@ -214,7 +214,7 @@
     saved = three.folder / "saved"
     shutil.copytree(three.all[old].directory, saved, copy_function=shutil.copy2)
     three.all[old].start()
-    three.together()
+    three.wait_until_in_sync()
     three.all[behind].kill()
     three.store_client().put("kept", b"acknowledged")  # by the leader and the one whose disk is put back
     three.all[leader].kill()
@@ -225,12 +225,12 @@
     three.all[behind].start()
     wait_for(lambda: "it is a copy of member" in three.all[old].log(), "the copy to be noticed")
     with pytest.raises(StoreRequestError) as failed:
-        StoreClient([three.all[n].door for n in (behind, old)], 3.0).put("new", b"1")
+        StoreClient([three.all[n].management_address for n in (behind, old)], 3.0).put("new", b"1")
     assert failed.value.kind == "no-leader"
     three.all[leader].start()
     assert three.store_client(20.0).get("kept")[0] == b"acknowledged"
     wait_for(lambda: three.all[leader].status()["retired"], "the copy to be taken in")
-    three.together()
+    three.wait_until_in_sync()
     assert three.store_client(20.0, old).get("kept")[0] == b"acknowledged"
 
 
@@ -242,12 +242,12 @@
     watch = store.watch("", revision - 1)
     assert next(watch)["name"] == "kept"  # somebody follows, and will ask for more after this revision
     old, away, emptied = sorted(three.all)
-    three.together()
+    three.wait_until_in_sync()
     for name in (away, emptied):
         three.all[name].kill()
     shutil.rmtree(three.all[emptied].directory)
     three.all[emptied].start()
-    only = StoreClient([three.all[old].door], 2.0)
+    only = StoreClient([three.all[old].management_address], 2.0)
     assert only.get("kept", stale=True)[0] == b"acknowledged"
     with pytest.raises(StoreRequestError) as failed:
         only.put("new", b"1")
@@ -261,7 +261,7 @@
     done = eiderpin(*args, "--member", f"{old}={one.listen}")
     assert done.returncode == 0, done.stderr
     one.start()
-    client = StoreClient([one.door], 15.0)
+    client = StoreClient([one.management_address], 15.0)
     assert client.get("kept")[0] == b"acknowledged"
     assert (one.status()["generation"], one.status()["voters"]) == (2, {old: one.listen})
     client.put("new", b"2")
@@ -271,7 +271,7 @@
     assert one.status()["voters"] == {old: one.listen}
 
     # Who followed the old one's revisions is told to begin anew, and does not wait for them to come again.
-    store.addresses = [one.door]
+    store.addresses = [one.management_address]
     with pytest.raises(StoreRequestError) as begun:
         for _ in zip(range(200), watch, strict=False):
             pass  # what was told of the old generation before it ended
@@ -280,7 +280,7 @@
     # One without anything comes in again as a new member.
     fresh = three.all[emptied]
     client.ask("add", 20.0, name=emptied, address=fresh.listen)
-    assert StoreClient([fresh.door], 15.0).get("new")[0] == b"2"
+    assert StoreClient([fresh.management_address], 15.0).get("new")[0] == b"2"
     assert fresh.status()["generation"] == 2
 
 
@@ -290,12 +290,12 @@
         one.parts["store"] = {"directory": str(one.directory)}
         one.start()
         try:
-            StoreClient([one.door], 15.0).put("kept", b"1")
+            StoreClient([one.management_address], 15.0).put("kept", b"1")
             one.kill()
             moved = shutil.copytree(one.directory, one.folder / "moved", copy_function=shutil.copy2)
             one.parts["store"] = {"directory": str(moved)}
             one.start()
-            assert StoreClient([one.door], 15.0).get("kept")[0] == b"1"
+            assert StoreClient([one.management_address], 15.0).get("kept")[0] == b"1"
         finally:
             one.kill()
 
--- a/tests/test_incarnation.py
+++ b/tests/test_incarnation.py
@@ -121,7 +121,7 @@
             leader = it.leader()
             name = sorted(set(it.all) - {leader})[0]
             frozen = it.all[name]
-            worker.back = f"127.0.0.1:{frozen.edge}"
+            worker.callback_address = f"127.0.0.1:{frozen.http_port}"
             assert frozen.process is not None
             frozen.process.send_signal(signal.SIGSTOP)
 
@@ -137,13 +137,15 @@
             frozen.process.send_signal(signal.SIGCONT)
             woken = time.monotonic()
             status, *_ = http_call(
-                f"127.0.0.1:{frozen.edge}", "POST", "/result-post", b"x",
+                f"127.0.0.1:{frozen.http_port}", "POST", "/result-post", b"x",
                 **{"Req-Id": "0badcafe00000001", "Req-Deadline-Ms": "4000"},
             )  # fmt: skip
             assert status == 503 and not worker.ran  # nothing that it would have to write down first
             wait_for(lambda: "fenced: another process" in frozen.log(), "it to be fenced")
             assert time.monotonic() - woken < 10.0
-            assert "fail drain" in door(frozen.door, "ready") and "fenced" in door(frozen.door, "ready")
+            assert "fail drain" in door(frozen.management_address, "ready") and "fenced" in door(
+                frozen.management_address, "ready"
+            )
             assert "fenced" not in successor.log()
             faults = [p.log() for p in it.all.values() if "Traceback" in p.log()]
             assert not faults, faults
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -29,7 +29,7 @@
 from eiderpin import logs
 from eiderpin.log_stream import LogHandler, LogStream, non_blocking_writer
 from tests.crossing import job_request
-from tests.standins import PATIENCE, ROOT, Discovery, http_call, wait_for
+from tests.standins import ROOT, TIMEOUT_SECONDS, Discovery, http_call, wait_for
 from tests.test_shutdown_deadline import HangingWorker, earliest_kill, with_deadlines
 
 SHORT_DEADLINES = with_deadlines(2500.0, 2500.0)
@@ -188,7 +188,7 @@
 
     def stop(self) -> None:
         self.process.kill()
-        self.process.wait(PATIENCE)
+        self.process.wait(TIMEOUT_SECONDS)
         os.close(self.events)
         self.folder.cleanup()
 
@@ -260,7 +260,7 @@
             port = wait_for(lambda: listening_port(process.pid), "the program to listen")
             wait_for(lambda: health(f"127.0.0.1:{port}") == 200, "the program to be ready")
             process.send_signal(signal.SIGTERM)
-            assert process.wait(PATIENCE) == 0
+            assert process.wait(TIMEOUT_SECONDS) == 0
         finally:
             process.kill()
             released.set()
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -7,13 +7,13 @@
 from collections import Counter
 
 from eiderpin.net.gearman import Kind, Packet
-from tests.standins import GearmanPeer, GearmanWorker, HttpWorker, http_call, running, wait_for
+from tests.standins import GearmanPeer, GearmanWorker, HttpWorker, http_call, running_program, wait_for
 
 
 def submit_and_wait(peer: GearmanPeer, cls: str, unique: str, kind: Kind = Kind.SUBMIT_JOB) -> Packet:
     """Submit a job and return its final packet, skipping JOB_CREATED and progress."""
     peer.put(kind, cls.encode(), unique.encode(), b"work")
-    return peer.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.ERROR)
+    return peer.wait_for_packet(Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.ERROR)
 
 
 class MixedRun(unittest.TestCase):
@@ -21,7 +21,7 @@
         """A front end that could reach only its own workers would split the pool in two."""
         for optimized in (True, False):
             http_workers = [HttpWorker("h1"), HttpWorker("h2")]
-            with running(http_workers, optimized, ("gearman",)) as (program, _):
+            with running_program(http_workers, optimized, ("gearman",)) as (program, _):
                 address = program.at["gearman"]
                 workers = [GearmanWorker(address, ["time-lookup", "result-post"]) for _ in range(3)]
                 wait_for(
@@ -30,7 +30,7 @@
                 )
                 failed: list[object] = []
 
-                def client(number: int, address: str = address, http_address: str = program.edge,
+                def client(number: int, address: str = address, http_address: str = program.http_address,
                            failed: list[object] = failed) -> None:  # fmt: skip
                     peer = GearmanPeer(address) if number % 2 else None
                     for i in range(12):
@@ -73,7 +73,7 @@
     def test_a_connection_that_breaks_during_a_job_is_a_reset(self) -> None:
         """A time-lookup is sent again, to another worker; a result-post may have run, so it fails and is not
         run again."""
-        with running([], fronts=("gearman",)) as (program, _):
+        with running_program([], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
 
             def drop(worker: GearmanWorker, packet: Packet) -> bool:
@@ -89,7 +89,7 @@
                 client.put(Kind.SUBMIT_JOB, cls.encode(), b"drop-" + cls.encode(), b"x")
                 first.jobs.get()
                 second = GearmanWorker(address, [cls])
-                self.assertIs(client.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL).kind, ends)
+                self.assertIs(client.wait_for_packet(Kind.WORK_COMPLETE, Kind.WORK_FAIL).kind, ends)
                 if cls == "result-post":  # a resubmission gets the same answer, and does not run
                     wait_for(lambda cls=cls: count_workers(address, cls) == 1, "the second worker")
                     self.assertIs(submit_and_wait(client, cls, "drop-" + cls).kind, Kind.WORK_FAIL)
@@ -100,7 +100,7 @@
 
     def test_a_worker_that_withdraws_its_functions_gets_no_jobs(self) -> None:
         http_worker = HttpWorker("h1")
-        with running([http_worker], fronts=("gearman",)) as (program, _):
+        with running_program([http_worker], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
             worker = GearmanPeer(address)
             worker.put(Kind.CAN_DO, b"time-lookup")
@@ -118,17 +118,19 @@
     def test_a_job_placed_on_a_worker_that_withdraws_runs_elsewhere(self) -> None:
         """The worker was woken for the job, and withdraws its function before it has grabbed the job. The job
         must neither be lost nor be assigned to it."""
-        with running([], fronts=("gearman",)) as (program, _):
+        with running_program([], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
             worker, client = GearmanPeer(address), GearmanPeer(address)
             worker.put(Kind.CAN_DO, b"result-post")
             worker.put(Kind.PRE_SLEEP)
             client.put(Kind.SUBMIT_JOB, b"result-post", b"moved", b"x")
-            worker.until(Kind.NOOP)
+            worker.wait_for_packet(Kind.NOOP)
             worker.put(Kind.CANT_DO, b"result-post")
             self.assertIs(worker.ask(Kind.GRAB_JOB).kind, Kind.NO_JOB)
             other = GearmanWorker(address, ["result-post"])
-            self.assertEqual(client.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL).kind, Kind.WORK_COMPLETE)
+            self.assertEqual(
+                client.wait_for_packet(Kind.WORK_COMPLETE, Kind.WORK_FAIL).kind, Kind.WORK_COMPLETE
+            )
             self.assertIs(worker.ask(Kind.GRAB_JOB).kind, Kind.NO_JOB)
             self.assertEqual(other.ran, {b"moved": 1})
             for peer in (worker, client, other):
@@ -143,7 +145,7 @@
             worker.serve(rid, handler)
 
         http_worker = HttpWorker("h1", wait)
-        with running([http_worker], fronts=("gearman",)) as (program, _):
+        with running_program([http_worker], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
             first, second = GearmanPeer(address), GearmanPeer(address)
             handles = [p.ask(Kind.SUBMIT_JOB, b"result-post", b"same", b"x").args[0] for p in (first, second)]
@@ -151,25 +153,27 @@
             statuses: list[tuple[int, bytes]] = []
             other = threading.Thread(
                 target=lambda: statuses.append(
-                    http_call(program.edge, "POST", "/result-post", b"x", Req_Id="same")[:2]
+                    http_call(program.http_address, "POST", "/result-post", b"x", Req_Id="same")[:2]
                 )
             )
             other.start()
             wait_for(lambda: program.counters().get("in.joined") == 2, "both to join")
             first.close()  # the job goes on for the others
             may_finish.set()
-            self.assertEqual(second.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL).args[1], b"h1 ran same")
+            self.assertEqual(
+                second.wait_for_packet(Kind.WORK_COMPLETE, Kind.WORK_FAIL).args[1], b"h1 ran same"
+            )
             other.join()
             self.assertEqual(statuses, [(200, b"h1 ran same")])
             self.assertEqual(submit_and_wait(second, "result-post", "same").args[1], b"h1 ran same")
-            again = http_call(program.edge, "POST", "/result-post", b"x", Req_Id="same")
+            again = http_call(program.http_address, "POST", "/result-post", b"x", Req_Id="same")
             self.assertEqual(again[:2], (200, b"h1 ran same"))
             self.assertEqual(http_worker.ran, {"same": 1})
             second.close()
 
     def test_a_single_shot_job_runs_on_when_its_client_has_left(self) -> None:
         """The client that submits it again gets the result of the first run; a second run is not allowed."""
-        with running([], fronts=("gearman",)) as (program, _):
+        with running_program([], fronts=("gearman",)) as (program, _):
             address = program.at["gearman"]
             may_finish = threading.Event()
 
@@ -186,9 +190,9 @@
             client.close()
             client = GearmanPeer(address)
             client.put(Kind.SUBMIT_JOB, b"result-post", b"club-9", b"x")
-            client.until(Kind.JOB_CREATED)
+            client.wait_for_packet(Kind.JOB_CREATED)
             may_finish.set()
-            self.assertEqual(client.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL).args[1], b"ranked")
+            self.assertEqual(client.wait_for_packet(Kind.WORK_COMPLETE, Kind.WORK_FAIL).args[1], b"ranked")
             self.assertEqual(worker.ran, {b"club-9": 1})
             client.close()
             worker.close()
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -116,7 +116,7 @@
 
 def ask(process: Process, call: str) -> str:
     """One call at a dispatcher's management address."""
-    return ask_at(process.door, call)
+    return ask_at(process.management_address, call)
 
 
 def ask_at(where: str, call: str) -> str:
@@ -150,15 +150,15 @@
             wait_for(lambda: all("version 1 taken" in p.log() for p in it.observers.values()), "version 1")
 
             def shown() -> str:
-                done = eiderpin("config", "show", "--door", it.cluster.all["m0"].door)
+                done = eiderpin("config", "show", "--door", it.cluster.all["m0"].management_address)
                 return done.stderr
 
             wait_for(lambda: "in force at 5 of 5 dispatchers, everywhere after" in shown(), "it to be known")
-            status = eiderpin("store", "status", "--door", it.observers["d1"].door).stdout
+            status = eiderpin("store", "status", "--door", it.observers["d1"].management_address).stdout
             self.assertRegex(status, r"(?m)^standing +known$")
-            refused = eiderpin("store", "members", "--door", it.observers["d1"].door)
+            refused = eiderpin("store", "members", "--door", it.observers["d1"].management_address)
             self.assertEqual((refused.returncode, "no member" in refused.stderr), (3, True))
-            listed = eiderpin("dispatchers", "--door", it.cluster.all["m1"].door).stdout
+            listed = eiderpin("dispatchers", "--door", it.cluster.all["m1"].management_address).stdout
             self.assertEqual(
                 [line.split()[0] for line in listed.splitlines()], ["m0", "m1", "m2", "d1", "d2"]
             )
@@ -252,7 +252,7 @@
             it.cluster.all["m0"].kill()
             wait_for(lambda: "control plane" in ask(process, "ready"), "its age to be told", LONG)
             self.assertRegex(ask(process, "ready"), r"control plane \d+ s old")
-            _, body, _ = http_call(f"127.0.0.1:{process.edge}", "GET", "/_health")
+            _, body, _ = http_call(f"127.0.0.1:{process.http_port}", "GET", "/_health")
             self.assertRegex(body.decode(), r"control plane \d+ s old")
             self.assertGreater(counters(process)["observer.age_ms"], 6000)
             self.assertEqual(it.status(process)["documents"], 1)
@@ -332,7 +332,7 @@
             member, process = it.cluster.all["m0"], it.observers["d1"]
             first = it.status(process)
             saved = it.folder / "saved"
-            eiderpin("store", "snapshot", str(saved), "--door", member.door)
+            eiderpin("store", "snapshot", str(saved), "--door", member.management_address)
             it.put_order(4.0)
             wait_for(lambda: it.applied(4.0), "the second order to be followed")
             member.kill()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,16 @@
 
 from eiderpin import configuration
 from eiderpin.net.gearman import Kind
-from tests.standins import SETTINGS, GearmanPeer, HttpWorker, Program, http_call, rest, running, wait_for
+from tests.standins import (
+    SETTINGS,
+    GearmanPeer,
+    HttpWorker,
+    Program,
+    http_call,
+    read_to_end,
+    running_program,
+    wait_for,
+)
 
 DOOR = "127.0.0.1:0"
 
@@ -32,7 +41,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for piece in pieces:
             sock.sendall(piece)
-        return rest(sock).decode()
+        return read_to_end(sock).decode()
 
 
 class ManagementCalls(unittest.TestCase):
@@ -49,7 +58,7 @@
             ([b"x" * 300], "fail a call is one line"),
             ([b"x" * 200, b"y" * 90 + b"\n"], "fail a call is one line"),
         ]
-        with running([HttpWorker("h1")], management=DOOR) as (program, _):
+        with running_program([HttpWorker("h1")], management=DOOR) as (program, _):
             for pieces, reply in cases:
                 with self.subTest(pieces=pieces):
                     got = call(program.at["management"], *pieces)
@@ -57,26 +66,26 @@
 
     def test_a_dispatcher_without_workers_is_not_ready(self) -> None:
         """A dispatcher that calls itself ready without workers would be sent requests that it must reject."""
-        with running([], management=DOOR) as (program, _):
+        with running_program([], management=DOOR) as (program, _):
             self.assertEqual(call(program.at["management"], b"ready\n"), "fail down\n")
 
     def test_idle_callers_are_dropped_and_block_no_others(self) -> None:
         """Callers that send nothing, or half a call, must not use up the few connections of the API."""
-        with running([HttpWorker("h1")], management=DOOR) as (program, _):
+        with running_program([HttpWorker("h1")], management=DOOR) as (program, _):
             silent = [caller(program.at["management"]) for _ in range(40)]
             silent[-1].sendall(b"rea")
             self.assertEqual(call(program.at["management"], b"ready\n"), "ok up 100%\n")
-            self.assertEqual([rest(sock) for sock in silent], [b""] * 40)
+            self.assertEqual([read_to_end(sock) for sock in silent], [b""] * 40)
             self.assertTrue(program.counters()["in.calls_silent"])
             for sock in silent:
                 sock.close()
 
     def test_management_is_served_while_the_http_front_is_full(self) -> None:
         """Clients that use up the descriptors must not lock the operators out."""
-        with running([HttpWorker("h1")], management=DOOR, limits={"sockets": 96}) as (program, _):
+        with running_program([HttpWorker("h1")], management=DOOR, limits={"sockets": 96}) as (program, _):
             crowd = []
             for _ in range(200):
-                crowd.append(caller(program.edge))
+                crowd.append(caller(program.http_address))
                 crowd[-1].sendall(b"POST /time-lookup HTTP/1.1\r\nReq-Id: ")
             self.assertTrue(call(program.at["management"], b"ready\n").startswith("ok"))
             for sock in crowd:
@@ -117,17 +126,20 @@
         return
     handler.say(202)
     if rid[0] == "f":
-        worker.tell(rid, "failed")
+        worker.send_callback(rid, "failed")
 
 
 class Figures(unittest.TestCase):
     def test_each_job_counts_once_under_its_class_and_verdict(self) -> None:
         """Jobs that are rejected before there is a request for them must be counted too, and none twice."""
-        with running([HttpWorker("h1", act_by_id)], management=DOOR, limits={"sockets": 96}) as (program, _):
+        with running_program([HttpWorker("h1", act_by_id)], management=DOOR, limits={"sockets": 96}) as (
+            program,
+            _,
+        ):
             management = program.at["management"]
 
             def ask(cls: str, rid: str, **headers: str) -> int:
-                return http_call(program.edge, "POST", f"/{cls}", Req_Id=rid, **headers)[0]
+                return http_call(program.http_address, "POST", f"/{cls}", Req_Id=rid, **headers)[0]
 
             statuses = [ask("time-lookup", f"s{i}") for i in range(3)]
             statuses += [ask("result-post", "s9"), ask("result-post", "f1")]
@@ -143,7 +155,7 @@
             most = configuration.allocate_descriptors(
                 configuration.read_config(json.dumps(program.said).encode())
             )[1]
-            held = [caller(program.edge) for _ in range(most)]
+            held = [caller(program.http_address) for _ in range(most)]
             for i, sock in enumerate(held):
                 sock.sendall(b"POST /result-post HTTP/1.1\r\nReq-Id: w%d\r\nContent-Length: 0\r\n\r\n" % i)
             wait_for(lambda: figures(management)["outstanding"] == most, "the limit to be reached")
@@ -161,7 +173,7 @@
         """Operators see from the figures how many workers are out of use; a worker that has left the list
         must not be counted as ejected."""
         workers = [HttpWorker(f"h{i}") for i in range(4)]
-        with running(workers, management=DOOR) as (program, discovery):
+        with running_program(workers, management=DOOR) as (program, discovery):
             management = program.at["management"]
             self.assertEqual([figures(management)[k] for k in ("discovered", "ejected")], [4, 0])
             discovery.list("dead", 1)  # nobody listens there
@@ -169,7 +181,7 @@
             rids = iter(range(1000))
 
             def ejected() -> bool:
-                http_call(program.edge, "POST", "/time-lookup", Req_Id=f"s{next(rids)}")
+                http_call(program.http_address, "POST", "/time-lookup", Req_Id=f"s{next(rids)}")
                 return bool(figures(management)["ejected"] == 1)
 
             wait_for(ejected, "the dead worker to be ejected")
@@ -192,7 +204,7 @@
 
 def health(program: Program) -> bytes:
     """The body of `/_health`."""
-    return http_call(program.edge, "GET", "/_health")[1]
+    return http_call(program.http_address, "GET", "/_health")[1]
 
 
 class Drains(unittest.TestCase):
@@ -206,12 +218,14 @@
                 worker.serve(rid, handler)
                 return
             handler.say(202)
-            threading.Thread(target=lambda: (go.wait(20), worker.tell(rid, "done", result="r"))).start()
+            threading.Thread(
+                target=lambda: (go.wait(20), worker.send_callback(rid, "done", result="r"))
+            ).start()
 
         worker = HttpWorker("h1", answer_later)
-        with running([worker], management=DOOR, fronts=("agent_check",)) as (program, _):
+        with running_program([worker], management=DOOR, fronts=("agent_check",)) as (program, _):
             management = program.at["management"]
-            used, fresh, half, busy, calls = (caller(program.edge) for _ in range(5))
+            used, fresh, half, busy, calls = (caller(program.http_address) for _ in range(5))
             used.sendall(ASK % b"q1")
             self.assertNotIn(b"Connection: close", answer(used))
             half.sendall(ASK[:30])
@@ -220,24 +234,26 @@
             callback = b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(news) + news
             calls.sendall(callback)
             answer(calls)
-            wait_for(lambda: len(worker.seen) == 2, "the slow job to be out")
+            wait_for(lambda: len(worker.requests) == 2, "the slow job to be out")
             for _ in range(2):
                 self.assertTrue(call(management, b"drain\n").startswith("ok"))
-            self.assertEqual((health(program), rest(caller(program.at["agent-check"]))), (b"drain\n",) * 2)
+            self.assertEqual(
+                (health(program), read_to_end(caller(program.at["agent-check"]))), (b"drain\n",) * 2
+            )
             self.assertTrue(call(management, b"ready\n").startswith("ok"))
-            status, _, headers = http_call(program.edge, "POST", "/time-lookup", Req_Id="q2")
+            status, _, headers = http_call(program.http_address, "POST", "/time-lookup", Req_Id="q2")
             self.assertEqual((status, headers.get("connection")), (200, "close"))
             # Idle connections end, whether used before or not; a job that is half sent is rejected.
-            self.assertEqual((rest(used), rest(fresh)), (b"", b""))
-            self.assertTrue(rest(half).startswith(b"HTTP/1.1 503 "))
+            self.assertEqual((read_to_end(used), read_to_end(fresh)), (b"", b""))
+            self.assertTrue(read_to_end(half).startswith(b"HTTP/1.1 503 "))
             calls.sendall(callback)
             self.assertNotIn(b"Connection: close", answer(calls))
             go.set()
-            self.assertRegex(rest(busy), rb"(?s)HTTP/1.1 200 .*Connection: close.*\r\n\r\nr$")
+            self.assertRegex(read_to_end(busy), rb"(?s)HTTP/1.1 200 .*Connection: close.*\r\n\r\nr$")
             for _ in range(2):
                 self.assertTrue(call(management, b"resume\n").startswith("ok"))
             self.assertRegex(health(program), rb"^up ")
-            again = caller(program.edge)
+            again = caller(program.http_address)
             for rid in (b"q3", b"q4"):
                 again.sendall(ASK % rid)
                 self.assertNotIn(b"Connection: close", answer(again))
@@ -246,10 +262,10 @@
 
     def test_a_reload_keeps_the_drain_and_resume_fails_after_sigterm(self) -> None:
         """A reload must not put a drained dispatcher back into service, nor `resume` one that shuts down."""
-        with running([HttpWorker("h1")], management=DOOR) as (program, _):
+        with running_program([HttpWorker("h1")], management=DOOR) as (program, _):
             management = program.at["management"]
             call(management, b"drain\n")
-            program.hang_up()
+            program.reload_config()
             wait_for(lambda: program.counters().get("in.reloads"), "the configuration to be read again")
             self.assertEqual(health(program), b"drain\n")
             call(management, b"resume\n")
@@ -261,7 +277,7 @@
 
     def test_a_drain_closes_idle_gearman_clients_and_keeps_workers(self) -> None:
         """Clients that wait for a job must be answered, so their worker's connection must stay open."""
-        with running([], management=DOOR, fronts=("gearman",)) as (program, _):
+        with running_program([], management=DOOR, fronts=("gearman",)) as (program, _):
             client, waiting, worker = (GearmanPeer(program.at["gearman"]) for _ in range(3))
             worker.put(Kind.CAN_DO, b"time-lookup")
             self.assertEqual(client.ask(Kind.ECHO_REQ, b"x").kind, Kind.ECHO_RES)
@@ -273,6 +289,6 @@
             while job.kind is Kind.NO_JOB:
                 job = worker.ask(Kind.GRAB_JOB)
             worker.put(Kind.WORK_COMPLETE, job.args[0], b"done")
-            self.assertEqual(waiting.until(Kind.WORK_COMPLETE).args[1], b"done")
+            self.assertEqual(waiting.wait_for_packet(Kind.WORK_COMPLETE).args[1], b"done")
             for peer in (client, waiting, worker):
                 peer.close()
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -155,18 +155,18 @@
         other.list("h1", worker.port)
         program = Program(discovery)
         try:
-            worker.back = program.edge
+            worker.callback_address = program.http_address
             program.ready()
-            program.hang_up(
+            program.reload_config(
                 discovery=other.address, settings=OTHER_SETTINGS, limits={"sockets": 200, "memory_mb": 20}
             )
-            wait_for(lambda: other.told, "the watch to move")
+            wait_for(lambda: other.served_generation, "the watch to move")
             wait_for(lambda: any("restart" in line for line in program.lines), "what takes a restart")
             line = next(line for line in program.lines if "restart" in line)
             for name in ("settings", "sockets", "memory_mb"):
                 self.assertIn(name, line)
-            self.assertEqual(http_call(program.edge, "POST", "/time-lookup", Req_Id="a")[0], 200)
-            self.assertEqual(http_call(program.edge, "POST", "/label", Req_Id="b")[0], 404)
+            self.assertEqual(http_call(program.http_address, "POST", "/time-lookup", Req_Id="a")[0], 200)
+            self.assertEqual(http_call(program.http_address, "POST", "/label", Req_Id="b")[0], 404)
         finally:
             program.stop()
             for server in (worker, other, discovery):
@@ -185,7 +185,7 @@
         def start(number: int) -> tuple[float, Program]:
             started_at = time.monotonic()
             program = Program(discovery, known=known if number % 2 else None, name=f"d{number}")
-            wait_for(lambda: http_call(program.edge, "GET", "/_health")[0] == 200, "it to be ready")
+            wait_for(lambda: http_call(program.http_address, "GET", "/_health")[0] == 200, "it to be ready")
             return time.monotonic() - started_at, program
 
         programs: list[Program] = []
@@ -196,8 +196,10 @@
                 programs = [program for _, program in started]
                 durations = sorted(seconds for seconds, _ in started)
                 self.assertLess(durations[int(0.9 * len(durations))], 10.0, durations)
-                worker.back = programs[0].edge
-                self.assertEqual(http_call(programs[0].edge, "POST", "/time-lookup", Req_Id="a")[0], 200)
+                worker.callback_address = programs[0].http_address
+                self.assertEqual(
+                    http_call(programs[0].http_address, "POST", "/time-lookup", Req_Id="a")[0], 200
+                )
                 for program in programs:
                     program.process.send_signal(signal.SIGKILL)
                     program.stop()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,7 +16,7 @@
 import time
 import unittest
 
-from tests.standins import ROOT, SETTINGS, HttpWorker, http_call, running, wait_for
+from tests.standins import ROOT, SETTINGS, HttpWorker, http_call, running_program, wait_for
 
 DISABLED_FEATURES = ("store.", "durable.", "ledger.", "gearman.", "agent_check.", "handover.", "outcomes.")
 
@@ -69,15 +69,17 @@
         """A child process, a Unix socket or a busy thread would be refused on the fleet bench, or count as a
         crash, whether at the start, under load or in a reload."""
         worker = HttpWorker("w1")
-        with running([worker], platform=True) as (program, discovery):
+        with running_program([worker], platform=True) as (program, discovery):
             pid = program.process.pid
             # Through `exec`, the interpreter has replaced the shell under the same pid.
             self.assertEqual(os.path.realpath(f"/proc/{pid}/exe"), os.path.realpath(sys.executable))
             for i in range(20):
-                status, body, _ = http_call(program.edge, "POST", "/time-lookup", b"x", Req_Id=f"p{i}")
+                status, body, _ = http_call(
+                    program.http_address, "POST", "/time-lookup", b"x", Req_Id=f"p{i}"
+                )
                 self.assertEqual(status, 200, body)
             program.process.send_signal(signal.SIGHUP)  # a reload must start no process either
-            http_call(program.edge, "GET", "/_health")
+            http_call(program.http_address, "GET", "/_health")
             self.assertEqual(child_pids(pid), [])
             kinds = count_sockets_by_kind(pid)
             self.assertEqual(set(kinds) - {"tcp"}, set(), kinds)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -11,7 +11,7 @@
 from eiderpin import wire
 from eiderpin.net import reports
 from eiderpin.net.workers import HttpWorkers
-from tests.standins import SETTINGS, HttpWorker, http_call, running, wait_for
+from tests.standins import SETTINGS, HttpWorker, http_call, running_program, wait_for
 
 CONF: dict[str, Any] = {
     **SETTINGS,
@@ -63,10 +63,10 @@
             go = threading.Event()
 
             def run(worker: HttpWorker, request_id: str, go: threading.Event = go) -> None:
-                worker.tell(request_id, "started")
+                worker.send_callback(request_id, "started")
                 worker.ran[request_id] += 1
                 go.wait(20)
-                worker.tell(request_id, "done", result="ran")
+                worker.send_callback(request_id, "done", result="ran")
 
             def slow(worker: HttpWorker, request_id: str, handler: Any, run: Any = run) -> None:
                 handler.say(202)
@@ -74,11 +74,11 @@
 
             worker = HttpWorker("h1", slow)
             worker.load = load
-            with self.subTest(load=load), running([worker], settings=CONF) as (program, _):
+            with self.subTest(load=load), running_program([worker], settings=CONF) as (program, _):
                 clients = []
                 for i in range(3):  # one after the other, so that the last one finds the others running
                     headers = {"Req_Id": f"a{i}"}
-                    call = (program.edge, "POST", "/time-lookup")
+                    call = (program.http_address, "POST", "/time-lookup")
                     clients.append(threading.Thread(target=http_call, args=call, kwargs=headers))
                     clients[-1].start()
                     wait_for(lambda worker=worker, i=i: worker.ran[f"a{i}"], "the job to have started")
@@ -86,4 +86,6 @@
                 go.set()
                 for thread in clients:
                     thread.join(20)
-                self.assertEqual({path for method, path, _, _ in worker.seen if method == "GET"}, {"/_load"})
+                self.assertEqual(
+                    {path for method, path, _, _ in worker.requests if method == "GET"}, {"/_load"}
+                )
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -23,7 +23,7 @@
 
 import pytest
 
-from tests.standins import PATIENCE, SETTINGS, Discovery, HttpWorker, Program
+from tests.standins import SETTINGS, TIMEOUT_SECONDS, Discovery, HttpWorker, Program
 
 # SIGKILL follows SIGTERM after the deployment's longest deadline and this delay ...
 KILL_DELAY_SECONDS = 0.7
@@ -55,13 +55,13 @@
         self.ran[rid] += 1
         hang_point = rid.partition(".")[0]
         if hang_point == "silent":
-            self.released.wait(PATIENCE)
+            self.released.wait(TIMEOUT_SECONDS)
             handler.close_connection = True
             return
         handler.say(202)
         if hang_point == "started":
             with contextlib.suppress(OSError):
-                self.tell(rid, "started")
+                self.send_callback(rid, "started")
 
 
 @dataclass
@@ -86,7 +86,7 @@
         host, _, port = address.rpartition(":")
         _sleep_until(sigterm_at + self.connects_at)
         try:
-            sock = socket.create_connection((host, int(port)), timeout=PATIENCE)
+            sock = socket.create_connection((host, int(port)), timeout=TIMEOUT_SECONDS)
         except OSError:
             return  # refused: a client would go to another dispatcher
         self.connected = True
@@ -127,7 +127,7 @@
         discovery.list(worker.name, worker.port)
     program = Program(discovery, settings=settings)
     for worker in workers:
-        worker.back = program.edge
+        worker.callback_address = program.http_address
     # (connects, sends): before SIGTERM, on a connection that is open at SIGTERM, and on later connections.
     moments = [
         (-0.25, -0.2),
@@ -145,13 +145,13 @@
         program.ready()
         sigterm_at = time.monotonic() + 0.4
         for client in clients:
-            client.start(program.edge, sigterm_at)
+            client.start(program.http_address, sigterm_at)
         _sleep_until(sigterm_at)
         program.process.send_signal(signal.SIGTERM)
         _sleep_until(sigterm_at + kill_after)
         program.process.kill()
         for client in clients:
-            client.thread.join(PATIENCE)
+            client.thread.join(TIMEOUT_SECONDS)
     finally:
         released.set()
         program.stop()
--- a/tests/test_shutdown_durable.py
+++ b/tests/test_shutdown_durable.py
@@ -13,7 +13,7 @@
 import unittest
 
 from eiderpin.net.gearman import Kind
-from tests.standins import PATIENCE, SETTINGS, GearmanPeer, Program, http_call, wait_for
+from tests.standins import SETTINGS, TIMEOUT_SECONDS, GearmanPeer, Program, http_call, wait_for
 from tests.test_crash import Installation, post, run_installation
 from tests.test_shutdown_deadline import earliest_kill
 
@@ -36,9 +36,9 @@
             if is_resubmittable:
                 self.statuses[name] = post(self.program, name)[0]
             else:
-                self.statuses[name] = http_call(self.program.edge, "POST", "/result-post", b"x", Req_Id=name)[
-                    0
-                ]
+                self.statuses[name] = http_call(
+                    self.program.http_address, "POST", "/result-post", b"x", Req_Id=name
+                )[0]
 
         self.threads.append(threading.Thread(target=ask, daemon=True))
         self.threads[-1].start()
@@ -51,7 +51,7 @@
         time.sleep(max(0.0, sigterm_at + earliest_kill(SETTINGS) - time.monotonic()))
         self.program.process.kill()
         for thread in self.threads:
-            thread.join(PATIENCE)
+            thread.join(TIMEOUT_SECONDS)
 
 
 class DurableJobsAtShutdown(unittest.TestCase):
@@ -71,7 +71,7 @@
             clients.stop_dispatcher()
             # The first can be resubmitted by its key; the second, under a new id, could run a second time.
             self.assertEqual(clients.statuses, {"a1": 503, "a2": 500})
-            self.assertIs(gearman.until(Kind.WORK_FAIL, Kind.WORK_COMPLETE).kind, Kind.WORK_FAIL)
+            self.assertIs(gearman.wait_for_packet(Kind.WORK_FAIL, Kind.WORK_COMPLETE).kind, Kind.WORK_FAIL)
             gearman.close()
             second = deployment.start()
             deployment.held_worker.go.set()
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -52,20 +52,20 @@
             self.assertEqual(
                 (list(status["learners"]), sorted(status["voters"])), (["s1"], ["m0", "m1", "m2"])
             )
-            shown = eiderpin("store", "members", "--door", it.all["m0"].door).stdout
+            shown = eiderpin("store", "members", "--door", it.all["m0"].management_address).stdout
             self.assertIn("standby    s1", shown)
             with self.assertRaisesRegex(StoreRequestError, "no standby"):
                 store.ask("promote", 20.0, name="m0")
             lost = next(name for name in ("m1", "m2") if name != it.leader())
             it.all.pop(lost).kill()
-            store.addresses = [p.door for p in it.all.values()]
-            done = eiderpin("store", "promote", "s1", "--door", it.all["m0"].door)
+            store.addresses = [p.management_address for p in it.all.values()]
+            done = eiderpin("store", "promote", "s1", "--door", it.all["m0"].management_address)
             self.assertIn("voter      s1", done.stdout + done.stderr)
             store.ask("remove", 20.0, name=lost)
             self.assertEqual(sorted(store.ask("status")["voters"]), sorted(it.all))
             other = next(name for name in it.all if name not in (it.leader(), "s1"))
             it.all[other].kill()
-            store.addresses = [p.door for p in it.all.values() if p.alive]
+            store.addresses = [p.management_address for p in it.all.values() if p.alive]
             store.put("by the vote of the one that was promoted", b"v")
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -53,7 +53,7 @@
             one = Process(Path(folder), "solo", {}, "")
             one.parts["store"] = {"directory": str(one.directory)}
             one.start()
-            store = StoreClient([one.door], 15.0)
+            store = StoreClient([one.management_address], 15.0)
             first = store.put("a", b"1")
             self.assertGreater(store.put("b", b"\0\xff", 0)["revision"], first["revision"])
             with self.assertRaisesRegex(StoreRequestError, "revision") as failed:
@@ -91,7 +91,7 @@
                 self.assertEqual(len(one.log().splitlines()), 1)
             one.parts["store"] = {"directory": str(one.directory)}
             one.start()
-            StoreClient([one.door], 15.0).put("a", b"1")
+            StoreClient([one.management_address], 15.0).put("a", b"1")
             other = Process(Path(folder), "other", {}, "")
             for name, why in (("solo", "another process owns it"), ("other", "another process owns it")):
                 other.parts["store"] = {"directory": str(one.directory), "name": name}
@@ -110,11 +110,11 @@
             one = Process(Path(folder), "solo", {}, "")
             one.parts["store"] = {"directory": str(one.directory)}
             one.start()
-            store = StoreClient([one.door], 15.0)
+            store = StoreClient([one.management_address], 15.0)
             store.put("a", b"1")
             assert one.process is not None
             limits = resource.prlimit(one.process.pid, resource.RLIMIT_FSIZE, (1, -1))
-            quick = StoreClient([one.door], 0.3)
+            quick = StoreClient([one.management_address], 0.3)
             with self.assertRaises(StoreRequestError):
                 quick.change("txn", puts=[{"name": "b", "value": "eA=="}])
             wait_for(lambda: one.status()["disk_fails"], "the disk to be found out")
@@ -167,7 +167,7 @@
             it.all[lead].kill()
             put += [(store.put(f"w/{i}", b"y")["revision"], f"w/{i}") for i in range(20, 40)]
             it.all[lead].start()
-            it.together()
+            it.wait_until_in_sync()
             other = it.leader()
             self.assertNotEqual(lead, other)
             store.ask("transfer", name=lead)
@@ -181,7 +181,7 @@
         with cluster() as it:
             store = it.store_client()
             store.put("a", b"1")
-            it.together()
+            it.wait_until_in_sync()
             lead = it.leader()
             for name in it.all:
                 if name != lead:
@@ -207,7 +207,7 @@
             def load() -> None:
                 mine = it.store_client(20.0, "m0")
                 while not stop.is_set():
-                    mine.addresses = [p.door for p in list(it.all.values()) if p.alive]
+                    mine.addresses = [p.management_address for p in list(it.all.values()) if p.alive]
                     done.append(mine.put(f"k{len(done)}", b"v")["revision"])
 
             thread = threading.Thread(target=load, daemon=True)
@@ -216,12 +216,12 @@
                 process = it.join(name)
                 said = store.ask("add", 20.0, name=name, address=process.listen)
                 self.assertIn(name, said["voters"])
-            store.addresses = [p.door for p in it.all.values()]
+            store.addresses = [p.management_address for p in it.all.values()]
             self.assertEqual(set(store.ask("remove", name="m0")["voters"]), {"n1", "n2"})
             wait_for(lambda: it.all["m0"].status()["removed"], "the removed member to hear of it")
             before = len(done)
             it.all["m0"].kill()
-            store.addresses = [it.all[n].door for n in ("n1", "n2")]
+            store.addresses = [it.all[n].management_address for n in ("n1", "n2")]
             wait_for(lambda: len(done) > before + 5, "writes to go on")
             stop.set()
             thread.join(20)
@@ -234,8 +234,8 @@
         with cluster() as it, tempfile.TemporaryDirectory() as folder:
             for i in range(30):
                 it.store_client().put(f"k{i}", b"%d" % i)
-            path, door = f"{folder}/saved", it.all["m0"].door
-            self.assertEqual(eiderpin("store", "snapshot", "--door", door, path).returncode, 0)
+            path, management_address = f"{folder}/saved", it.all["m0"].management_address
+            self.assertEqual(eiderpin("store", "snapshot", "--door", management_address, path).returncode, 0)
             at = f"127.0.0.1:{free_port()}"
             new = Process(Path(folder), "fresh", {"fresh": at}, at, cluster="c2")
             args = ("store", "restore", path, str(new.directory), "--name", "fresh", "--cluster", "c2")
@@ -243,7 +243,7 @@
             self.assertEqual(done.returncode, 0, done.stderr)
             self.assertIn("is not empty", eiderpin(*args, "--member", f"fresh={at}").stderr)
             new.start()
-            store = StoreClient([new.door], 15.0)
+            store = StoreClient([new.management_address], 15.0)
             self.assertEqual(store.get("k29")[0], b"29")
             store.put("k30", b"new")
             with self.assertRaises(StoreRequestError):
@@ -278,12 +278,12 @@
                     store.put(f"k{i % 20}", b"x" * 1000 + b"%d" % i)
                 self.assertGreater(it.all[lead].status()["snapshot"], 100)
                 it.all[away].start(quick)
-                said = it.together()
+                said = it.wait_until_in_sync()
                 self.assertGreater(said[away]["snapshot"], 100)
                 self.assertEqual(it.store_client(15.0, away).get("k19", stale=True)[0][-3:], b"199")
                 it.all[away].kill()
                 it.all[away].start(quick)  # from its own disk
-                it.together()
+                it.wait_until_in_sync()
                 found = it.store_client(15.0, away).ask("range", prefix="k", most=100, stale=True)[
                     "documents"
                 ]
@@ -302,11 +302,13 @@
             wait_for(lambda: it.all[lead].status()["disk_fails"], "the disk to be found out")
             first = it.store_client(15.0, lead, *(n for n in it.all if n != lead))
             self.assertEqual(first.get("a")[0], b"2")  # it is asked first, and those behind it answer
-            first.addresses.sort(key=lambda door: door != it.all[lead].door)
+            first.addresses.sort(
+                key=lambda management_address: management_address != it.all[lead].management_address
+            )
             first.put("a", b"3")
             self.assertTrue(it.all[lead].status()["disk_fails"])
             resource.prlimit(it.all[lead].process.pid, resource.RLIMIT_FSIZE, limits)  # type: ignore[union-attr]
-            it.together()
+            it.wait_until_in_sync()
             self.assertEqual(it.store_client(15.0, lead).get("a", stale=True)[0], b"3")
 
     def test_leases_end_and_take_their_documents_along(self) -> None:
@@ -388,8 +390,8 @@
                     said["workers"] = [{"name": "w1", "address": f"127.0.0.1:{worker.port}", "slots": 4}]
                     path.write_text(json.dumps(said))
                 it.start()
-                edges = {n: f"127.0.0.1:{p.edge}" for n, p in it.all.items()}
-                doors = ",".join(p.door for p in it.all.values())
+                edges = {n: f"127.0.0.1:{p.http_port}" for n, p in it.all.items()}
+                doors = ",".join(p.management_address for p in it.all.values())
 
                 def run(*args: str, code: int = 0) -> str:
                     done = eiderpin(args[0], *args[1:2], "--door", doors, *args[2:])
@@ -441,9 +443,12 @@
             it, worker = Cluster(Path(folder)), HttpWorker("w1")
             try:
                 it.start()
-                processes, doors = list(it.all.values()), ",".join(p.door for p in it.all.values())
+                processes, doors = (
+                    list(it.all.values()),
+                    ",".join(p.management_address for p in it.all.values()),
+                )
                 for process in processes:
-                    worker.back = f"127.0.0.1:{process.edge}"
+                    worker.callback_address = f"127.0.0.1:{process.http_port}"
 
                 def run(*args: str, code: int = 0) -> str:
                     done = eiderpin("config", args[0], "--door", doors, *args[1:])
@@ -459,7 +464,7 @@
                 self.assertIn("no configuration", run("show"))
                 self.assertEqual(run("set", str(path)), "version 1\n")
                 all_say("configuration version 1 taken")
-                edge = f"127.0.0.1:{processes[-1].edge}"
+                edge = f"127.0.0.1:{processes[-1].http_port}"
                 self.assertEqual(http_call(edge, "POST", "/time-lookup", Req_Id="q1")[1], b"w1 ran q1")
                 more = {**plain["classes"][1], "name": "photo"}
                 grown = {**plain, "classes": [*plain["classes"], more]}
@@ -517,10 +522,10 @@
 
             def act(worker: HttpWorker, rid: str, handler: Any) -> None:
                 def work() -> None:  # the connection is free for the next job meanwhile
-                    worker.tell(rid, "started")
+                    worker.send_callback(rid, "started")
                     while not go.wait(0.3):
-                        worker.tell(rid, "running", share=0.1)
-                    worker.tell(rid, "done", result="x")
+                        worker.send_callback(rid, "running", share=0.1)
+                    worker.send_callback(rid, "done", result="x")
 
                 held.append(rid)
                 handler.say(202)
@@ -528,7 +533,7 @@
 
             def ask(*numbers: int) -> None:
                 for i in numbers:
-                    args = (worker.back, "POST", "/time-lookup")
+                    args = (worker.callback_address, "POST", "/time-lookup")
                     threading.Thread(
                         target=lambda a=args, i=i: answers.append(http_call(*a, Req_Id=f"q{i}")[0]),
                         daemon=True,
@@ -540,12 +545,14 @@
             said = json.loads(path.read_text())
             said["workers"] = [{"name": "w1", "address": f"127.0.0.1:{worker.port}", "slots": 4}]
             path.write_text(json.dumps(said))
-            worker.back = f"127.0.0.1:{one.edge}"
+            worker.callback_address = f"127.0.0.1:{one.http_port}"
             one.start()
             try:
-                store = StoreClient([one.door], 15.0)
+                store = StoreClient([one.management_address], 15.0)
                 store.ask("status")
-                wait_for(lambda: http_call(worker.back, "GET", "/_health")[0] == 200, "it to be ready")
+                wait_for(
+                    lambda: http_call(worker.callback_address, "GET", "/_health")[0] == 200, "it to be ready"
+                )
                 store.put("orders/workers/w1", orders.WorkerOverride(slots=2).pack())
                 wait_for(lambda: "order for worker w1" in one.log(), "the order")
                 ask(*range(6))
@@ -576,8 +583,8 @@
             plain = json.loads(path.read_text())
             plain["workers"] = [{"name": "w1", "address": f"127.0.0.1:{worker.port}"}]
             path.write_text(json.dumps(plain))
-            worker.back = f"127.0.0.1:{one.edge}"
-            store = StoreClient([one.door], 15.0)
+            worker.callback_address = f"127.0.0.1:{one.http_port}"
+            store = StoreClient([one.management_address], 15.0)
 
             def told() -> bool:
                 assert one.process is not None
@@ -587,9 +594,13 @@
             try:
                 one.start(quick)
                 store.ask("status")
-                wait_for(lambda: http_call(worker.back, "GET", "/_health")[0] == 200, "it to be ready")
+                wait_for(
+                    lambda: http_call(worker.callback_address, "GET", "/_health")[0] == 200, "it to be ready"
+                )
                 for i in range(20):
-                    self.assertEqual(http_call(worker.back, "POST", "/time-lookup", Req_Id=f"q{i}")[0], 200)
+                    self.assertEqual(
+                        http_call(worker.callback_address, "POST", "/time-lookup", Req_Id=f"q{i}")[0], 200
+                    )
                 wait_for(lambda: store.ask("range", prefix="learned/")["documents"], "what it has learned")
                 one.kill()
                 one.start()
@@ -625,7 +636,7 @@
             if rid.startswith("held"):
                 tellers.append(rid)
                 return  # it is never told of
-            worker.tell(rid, "done", result=f"ran {rid}")
+            worker.send_callback(rid, "done", result=f"ran {rid}")
 
         with tempfile.TemporaryDirectory() as folder:
             it, worker = Cluster(Path(folder)), HttpWorker("w1", act)
@@ -637,13 +648,13 @@
                     path.write_text(json.dumps(plain))
                     process.parts["store"]["outcomes"] = ["result-post"]
                 it.start()
-                edges = [f"127.0.0.1:{p.edge}" for p in it.all.values()]
+                edges = [f"127.0.0.1:{p.http_port}" for p in it.all.values()]
                 for edge in edges:
                     wait_for(lambda edge=edge: http_call(edge, "GET", "/_health")[0] == 200, "its readiness")
                 wait_for(lambda: all("3 dispatchers share" in p.log() for p in it.all.values()), "the shares")
 
                 def post(edge: str, name: str, body: bytes = b"x", **more: str) -> tuple[int, bytes]:
-                    worker.back = edge
+                    worker.callback_address = edge
                     key = f'"{name}"'
                     return http_call(edge, "POST", "/result-post", body, Idempotency_Key=key, **more)[:2]
 
@@ -695,10 +706,10 @@
 class Commands(unittest.TestCase):
     def test_each_against_a_store(self) -> None:
         with cluster(1) as it, tempfile.TemporaryDirectory() as folder:
-            door = it.all["m0"].door
+            management_address = it.all["m0"].management_address
 
             def run(*args: str, code: int = 0) -> str:
-                done = eiderpin("store", args[0], "--door", door, *args[1:])
+                done = eiderpin("store", args[0], "--door", management_address, *args[1:])
                 self.assertEqual(done.returncode, code, (args, done.stdout, done.stderr))
                 return done.stdout + done.stderr
 
@@ -730,7 +741,7 @@
 
     def test_bad_calls_at_the_door(self) -> None:
         with cluster(1) as it:
-            host, port = it.all["m0"].door.split(":")
+            host, port = it.all["m0"].management_address.split(":")
             for said, why in (
                 (b"store {}", "op: None"), (b"store [1]", "an object"), (b"store {", "bad"),
                 (b'store {"op":"get"}', "name: None"), (b'store {"op":"get","name":1}', "text is expected"),
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -31,7 +31,7 @@
     leads_to_worker,
     running_harness,
 )
-from tests.standins import ROOT, HttpWorker, http_call, running, wait_for
+from tests.standins import ROOT, HttpWorker, http_call, running_program, wait_for
 
 CLASSES = ("time-lookup", "result-post")
 MEMORY_SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
@@ -359,7 +359,7 @@
     def test_the_process_serves_on_when_the_reader_of_its_log_has_gone(self) -> None:
         """Every write to standard error fails; the process must serve on and end in order."""
         worker = HttpWorker("h1")
-        with running([worker]) as (program, discovery):
+        with running_program([worker]) as (program, discovery):
             config = {**program.said, "listen": "127.0.0.1:0"}
             program.config.write_text(json.dumps(config))
             env = {**os.environ, "GW_CONFIG": str(program.config), "EIDERPIN_LOG_FORMAT": "logfmt"}
@@ -370,7 +370,7 @@
             first_line = process.stderr.readline()
             edge = next(part for part in first_line.split() if part.startswith("edge=")).partition("=")[2]
             process.stderr.close()
-            worker.back = edge
+            worker.callback_address = edge
             wait_for(lambda: http_call(edge, "GET", "/_health")[0] == 200, "it to be ready")
             for sent, signal_number in enumerate((signal.SIGUSR1, signal.SIGHUP, signal.SIGUSR1)):
                 process.send_signal(signal_number)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,16 @@
 from eiderpin import configuration
 from eiderpin import interface as api
 from eiderpin.net.gearman import Kind
-from tests.standins import Discovery, GearmanPeer, HttpWorker, Inherited, Program, http_call, rest, wait_for
+from tests.standins import (
+    Discovery,
+    GearmanPeer,
+    HttpWorker,
+    InheritedSocket,
+    Program,
+    http_call,
+    read_to_end,
+    wait_for,
+)
 from tests.test_operators import ASK, DOOR, answer, call, caller, figures
 
 
@@ -37,12 +46,12 @@
             return
         worker.ran[request_id] += 1
         handler.say(202)
-        worker.tell(request_id, "started")
+        worker.send_callback(request_id, "started")
 
         def finish_later() -> None:
             self.go.wait(20)
             try:
-                self.statuses.append(worker.tell(request_id, "done", result=f"ran {request_id}"))
+                self.statuses.append(worker.send_callback(request_id, "done", result=f"ran {request_id}"))
             except OSError:
                 if not self.ended:
                     raise
@@ -60,14 +69,14 @@
         self.held = HoldingWorker()
         self.discovery = Discovery()
         self.discovery.list("h1", self.held.worker.port)
-        self.inherited = Inherited(depth)
+        self.inherited = InheritedSocket(depth)
         self.programs: list[Program] = []
 
     def start(self, **config: Any) -> Program:
         """Start a process."""
         program = Program(self.discovery, inherits=self.inherited, management=DOOR, **config)
         self.programs.append(program)
-        self.held.worker.back = program.edge
+        self.held.worker.callback_address = program.http_address
         return program
 
     def serving(self, **config: Any) -> Program:
@@ -78,7 +87,7 @@
 
     def start_job(self, request_id: bytes) -> socket.socket:
         """Send a job, wait until it runs at the worker, and return the client's socket."""
-        sock = caller(self.programs[0].edge)
+        sock = caller(self.programs[0].http_address)
         sock.sendall(ASK.replace(b"time-lookup", b"result-post") % request_id)
         wait_for(lambda: self.held.worker.ran[request_id.decode()], "the job to be out")
         return sock
@@ -86,7 +95,7 @@
     @property
     def link_path(self) -> str:
         """The path of the Unix socket that links the old and the new process."""
-        name = self.programs[0].edge.replace(":", "-")
+        name = self.programs[0].http_address.replace(":", "-")
         return os.path.join(self.inherited.folder.name, f"eiderpin-{name}.link")
 
 
@@ -141,24 +150,27 @@
         for depth in (0, 120):  # the address of a Unix socket is limited to about 100 bytes
             with self.subTest(depth=depth), side(depth) as site:
                 old = site.serving()
-                idle = caller(old.edge)
+                idle = caller(old.http_address)
                 idle.sendall(ASK % b"q1")
                 self.assertIn(b"ran q1", answer(idle))
                 waiting_client = site.start_job(b"s1")
                 new = site.serving()
                 said(old, TOOK)
-                self.assertEqual(rest(idle), b"")
-                asked = [http_call(new.edge, "POST", "/time-lookup", Req_Id=f"q{i}")[0] for i in range(2, 12)]
+                self.assertEqual(read_to_end(idle), b"")
+                asked = [
+                    http_call(new.http_address, "POST", "/time-lookup", Req_Id=f"q{i}")[0]
+                    for i in range(2, 12)
+                ]
                 self.assertEqual(asked, [200] * 10)
                 self.assertEqual(figures(new.at["management"])["results"]["time-lookup"]["succeeded"], 10)
                 for line in (b"drain\n", b"resume\n"):
                     self.assertTrue(call(old.at["management"], line).startswith("fail a newer process"))
                 # The worker calls back at the address that both share; the new process forwards it.
                 site.held.go.set()
-                self.assertTrue(rest(waiting_client).endswith(b"ran s1"))
+                self.assertTrue(read_to_end(waiting_client).endswith(b"ran s1"))
                 self.assertEqual(old.process.wait(20), 0)
                 self.assertEqual(site.held.statuses, [204])
-                self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q12")[0], 200)
+                self.assertEqual(http_call(new.http_address, "POST", "/time-lookup", Req_Id="q12")[0], 200)
 
     def test_jobs_that_outlast_the_old_process_are_transferred_with_their_clients(self) -> None:
         """The old process must exit in time though its jobs still run; none may be lost or run twice."""
@@ -188,7 +200,7 @@
             waiting_clients = [site.start_job(b"s%d" % i) for i in range(4)]
             new = site.serving(limits=least)
             said(old, TOOK)
-            more = [caller(new.edge) for _ in range(60)]
+            more = [caller(new.http_address) for _ in range(60)]
             for i, sock in enumerate(more):
                 sock.sendall(ASK.replace(b"time-lookup", b"result-post") % b"m%d" % i)
             wait_for(lambda: figures(new.at["management"])["outstanding"] >= 10, "jobs to be taken")
@@ -213,14 +225,14 @@
             said(old, TOOK)
             old.process.send_signal(signal.SIGTERM)
             for _ in range(5):
-                self.assertRegex(rest(caller(at["agent_check"])), rb"^up ")
+                self.assertRegex(read_to_end(caller(at["agent_check"])), rb"^up ")
             client = GearmanPeer(at["gearman"])
             client.put(Kind.SUBMIT_JOB, b"time-lookup", b"q2", b"")
-            self.assertEqual(client.until(Kind.WORK_COMPLETE).args[1][-6:], b"ran q2")
+            self.assertEqual(client.wait_for_packet(Kind.WORK_COMPLETE).args[1][-6:], b"ran q2")
             self.assertEqual(figures(new.at["management"])["results"]["time-lookup"]["succeeded"], 1)
             # The job of a Gearman client is not transferred: the old process answers it.
             site.held.go.set()
-            self.assertEqual(waiting.until(Kind.WORK_COMPLETE).args[1][-6:], b"ran s1")
+            self.assertEqual(waiting.wait_for_packet(Kind.WORK_COMPLETE).args[1][-6:], b"ran s1")
             self.assertEqual(old.process.wait(20), 0)
             client.close()
             waiting.close()
@@ -235,7 +247,9 @@
                 said(old, TOOK, times)
                 site.programs[-1].process.send_signal(number)
                 said(old, "taking clients again", times)
-                self.assertEqual(http_call(old.edge, "POST", "/time-lookup", Req_Id=f"q{number}")[0], 200)
+                self.assertEqual(
+                    http_call(old.http_address, "POST", "/time-lookup", Req_Id=f"q{number}")[0], 200
+                )
                 self.assertTrue(call(old.at["management"], b"resume\n").startswith("ok"))
                 waiting_client.close()
             # The next process still finds it.
@@ -286,7 +300,7 @@
                     dying.accept()[0].close()
                 os.rename(site.link_path + ".kept", site.link_path)
                 self.assertEqual(old.process.wait(20), 0)
-                self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
+                self.assertEqual(http_call(new.http_address, "POST", "/time-lookup", Req_Id="q1")[0], 200)
                 dying.close()
 
     def test_a_new_process_serves_alone_where_the_old_one_was_killed(self) -> None:
@@ -297,11 +311,11 @@
             old.process.wait()
             self.assertTrue(os.path.exists(site.link_path))  # stale
             new = site.serving()
-            self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
+            self.assertEqual(http_call(new.http_address, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             last = site.serving()
             said(new, TOOK)
             new.process.kill()
-            self.assertEqual(http_call(last.edge, "POST", "/time-lookup", Req_Id="q2")[0], 200)
+            self.assertEqual(http_call(last.http_address, "POST", "/time-lookup", Req_Id="q2")[0], 200)
 
     def test_a_new_process_that_cannot_serve_yet_takes_no_clients(self) -> None:
         """Without an answer from discovery it knows no workers: the old process must go on serving."""
@@ -310,7 +324,7 @@
             site.discovery.silent = True
             new = site.start()
             self.assertTrue(call(new.at["management"], b"ready\n").startswith("fail"))
-            self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
+            self.assertEqual(http_call(new.http_address, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             self.assertFalse(any(TOOK in line for line in old.lines))
             new.process.send_signal(signal.SIGTERM)
             self.assertEqual(new.process.wait(20), 0)
@@ -324,11 +338,11 @@
             new = site.start()
             old.process.send_signal(signal.SIGTERM)
             time.sleep(1.0)  # without a successor it would have exited by now
-            self.assertEqual(http_call(old.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
+            self.assertEqual(http_call(old.http_address, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             site.discovery.silent = False
             self.assertEqual(old.process.wait(20), 0)
             wait_for(lambda: call(new.at["management"], b"ready\n").startswith("ok"), "it to serve")
-            self.assertEqual(http_call(new.edge, "POST", "/time-lookup", Req_Id="q2")[0], 200)
+            self.assertEqual(http_call(new.http_address, "POST", "/time-lookup", Req_Id="q2")[0], 200)
 
     def test_invalid_messages_on_the_link_only_close_it(self) -> None:
         """Whatever connects to the socket, the old process must serve on without an error."""
@@ -349,7 +363,7 @@
                     with contextlib.suppress(ConnectionResetError):
                         while sock.recv(65536):
                             pass
-            self.assertEqual(http_call(old.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
+            self.assertEqual(http_call(old.http_address, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             # Valid messages are understood though they arrive byte by byte; a call-back is answered though
             # nobody knows its id.
             with socket.socket(socket.AF_UNIX) as sock:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,7 +17,7 @@
 from eiderpin.core.wall_clock import WallClock
 from eiderpin.net.discovery import Entries
 from tests.crossing import Harness, ManualClock, running_harness
-from tests.standins import HttpWorker, http_call, running
+from tests.standins import HttpWorker, http_call, running_program
 
 STEPS_MS = (-3_600_000.0, -5000.0, -1000.0, 1000.0, 5000.0, 3_600_000.0)
 COLD_START_RULES = {"cold_share": 0.25, "drain_grace": 500.0, "fall": 2000.0, "fall_multiple": 2.0,
@@ -167,12 +167,12 @@
                 handler.say(202)
 
         worker = HttpWorker("w1", hang)
-        with running([worker], prelude=STEPPING_CLOCK_PRELUDE) as (program, _):
-            self.assertEqual(http_call(program.edge, "POST", "/time-lookup", Req_Id="q1")[0], 200)
+        with running_program([worker], prelude=STEPPING_CLOCK_PRELUDE) as (program, _):
+            self.assertEqual(http_call(program.http_address, "POST", "/time-lookup", Req_Id="q1")[0], 200)
             for cls, wait in (("time-lookup", 600), ("result-post", 900)):
                 begun_at = time.monotonic()
                 status, _, _ = http_call(
-                    program.edge,
+                    program.http_address,
                     "POST",
                     f"/{cls}",
                     Req_Id=f"h-{cls}",
@@ -186,7 +186,7 @@
                     self.assertGreater(took_ms, wait - 150)
             deadlines_sent = [
                 int(headers["req-deadline-ms"])
-                for _, _, headers, _ in worker.seen
+                for _, _, headers, _ in worker.requests
                 if headers.get("req-id", "").startswith("h-")
             ]
             self.assertTrue(deadlines_sent and max(deadlines_sent) <= 900, json.dumps(deadlines_sent))
