--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of our own for what the program meets (discovery, workers, clients), and the program itself."""
+"""The program in a process of its own, and stand-ins for its peers: discovery, workers and clients."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from eiderpin.net.gearman import RESPONSE, Kind, Packet, Reader, pack
 
 ROOT = Path(__file__).parent.parent
-TIMEOUT_SECONDS = 20.0  # s; no test waits as long unless something is broken
+TIMEOUT_SECONDS = 20.0  # no wait takes as long unless something is broken
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -44,43 +44,51 @@
 
 
 def platform_run() -> str:
-    """The platform's `run` line, with this interpreter for the one in `.venv`, which CI does not make."""
+    """Return the platform's `run` line with this interpreter in place of that in `.venv`, which CI lacks."""
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         line = str(tomllib.load(file)["run"])
     return line.replace(".venv/bin/python", sys.executable)
 
 
-def wait_for(what: Callable[[], Any], text: str, within: float = TIMEOUT_SECONDS) -> Any:
-    """What `what` gives once it is true; `within` so many seconds."""
+def wait_for(condition: Callable[[], Any], awaited: str, within: float = TIMEOUT_SECONDS) -> Any:
+    """Return the value of `condition` once it is true.
+
+    Raises `AssertionError` if that takes longer than `within` seconds; `awaited` is named in its text.
+    """
     deadline = time.monotonic() + within
     while time.monotonic() < deadline:
-        got = what()
-        if got:
-            return got
+        value = condition()
+        if value:
+            return value
         time.sleep(0.005)
-    raise AssertionError(f"waited in vain for {text}")
+    raise AssertionError(f"waited in vain for {awaited}")
 
 
 class _Server(ThreadingHTTPServer):
+    """An HTTP server with a thread per connection."""
+
     daemon_threads = True
     request_queue_size = 128
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Broken connections are part of the tests."""
+        """Print nothing: broken connections are part of the tests."""
 
 
 class _Handler(BaseHTTPRequestHandler):
+    """What the HTTP stand-ins' handlers share."""
+
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
 
     def log_message(self, format: str, *args: Any) -> None:
-        pass
+        """Print nothing."""
 
-    def body(self) -> bytes:
+    def read_body(self) -> bytes:
+        """Read the request's body."""
         return self.rfile.read(int(self.headers.get("Content-Length") or 0))
 
     def say(self, status: int, body: bytes = b"", **headers: str) -> None:
-        """Whoever asked may have gone: what was taken runs all the same."""
+        """Send a response. A client that has left is ignored: the job it sent still runs."""
         self.send_response(status)
         for name, value in headers.items():
             self.send_header(name.replace("_", "-"), value)
@@ -91,39 +99,46 @@
 
 
 class Discovery:
-    """Serves a list and watches on it."""
+    """A stand-in for discovery: serves the list of workers, and watches on it."""
 
     def __init__(self) -> None:
         self.generation = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.served_generation = 0  # the generation that the last answer held
-        self.silent = False
+        self.served_generation = 0  # the generation of the last answer
+        self.silent = False  # whether it accepts requests without answering
         self.request_count = 0
         self.changed = threading.Condition()
-        me = self
+        discovery = self
 
         class Handler(_Handler):
             def do_GET(self) -> None:
-                me.request_count += 1
-                if me.silent:
+                discovery.request_count += 1
+                if discovery.silent:
                     time.sleep(TIMEOUT_SECONDS)
                     return
-                query = dict(p.split("=") for p in self.path.partition("?")[2].split("&") if p)
+                query = dict(pair.split("=") for pair in self.path.partition("?")[2].split("&") if pair)
                 after = int(query.get("after", -1))
-                with me.changed:
-                    me.changed.wait_for(lambda: me.generation > after, int(query.get("wait_ms", 0)) / 1000)
-                    whole = after < 0
-                    rows = list(me.entries.values()) if whole else [e for g, e in me.changes if g > after]
-                    said = {"generation": me.generation, "reset": whole, "instances": rows}
-                    self.say(200, json.dumps(said).encode())
-                    me.served_generation = me.generation
+                with discovery.changed:
+                    discovery.changed.wait_for(
+                        lambda: discovery.generation > after, int(query.get("wait_ms", 0)) / 1000
+                    )
+                    complete = after < 0
+                    rows = (
+                        list(discovery.entries.values())
+                        if complete
+                        else [entry for generation, entry in discovery.changes if generation > after]
+                    )
+                    answer = {"generation": discovery.generation, "reset": complete, "instances": rows}
+                    self.say(200, json.dumps(answer).encode())
+                    discovery.served_generation = discovery.generation
 
         self.server = _Server(("127.0.0.1", 0), Handler)
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
         self.address = f"127.0.0.1:{self.server.server_address[1]}"
 
     def list(self, name: str, port: int, lifecycle: str = "Ready", started: float = 0) -> None:
+        """Add a worker to the list, or change its entry; `started` is Unix time in ms."""
         with self.changed:
             self.generation += 1
             entry = {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": "a", "machineType": "m",
@@ -133,55 +148,64 @@
             self.changed.notify_all()
 
     def stop(self) -> None:
+        """Stop serving and close the port."""
         self.server.shutdown()
         self.server.server_close()
 
 
 class HttpWorker:
-    """Counts what it is sent. `on_job` says what becomes of a job: a state for the call-back, or more."""
+    """A stand-in for a worker on HTTP, which records its requests.
+
+    `on_job` is called with each job instead of `serve`, and answers it.
+    """
 
     def __init__(self, name: str, on_job: Callable[[HttpWorker, str, Any], None] | None = None) -> None:
         self.name = name
-        self.ran: Counter[str] = Counter()
+        self.ran: Counter[str] = Counter()  # runs by request id
         self.requests: list[tuple[str, str, dict[str, str], bytes]] = []  # method, path, headers, body
         self.connections = 0
-        self.callback_address = ""  # where to call back
-        self.load = b""  # what probes are told
-        self.on_job = on_job or (lambda worker, rid, handler: worker.serve(rid, handler))
-        me = self
+        self.callback_address = ""  # "host:port" that takes its call-backs
+        self.load = b""  # the body of its answers to probes
+        self.on_job = on_job or (lambda worker, request_id, handler: worker.serve(request_id, handler))
+        worker = self
 
         class Handler(_Handler):
             def setup(self) -> None:
-                me.connections += 1
+                worker.connections += 1
                 super().setup()
 
             def do_POST(self) -> None:
-                body = self.body()
-                me.requests.append(("POST", self.path, {k.lower(): v for k, v in self.headers.items()}, body))
-                me.on_job(me, self.headers["Req-Id"], self)
+                body = self.read_body()
+                worker.requests.append(
+                    ("POST", self.path, {name.lower(): value for name, value in self.headers.items()}, body)
+                )
+                worker.on_job(worker, self.headers["Req-Id"], self)
 
             def do_DELETE(self) -> None:
-                me.requests.append(("DELETE", self.path, {}, b""))
+                worker.requests.append(("DELETE", self.path, {}, b""))
                 self.say(204)
 
             def do_GET(self) -> None:
-                me.requests.append(("GET", self.path, {}, b""))
-                self.say(200, me.load)
+                worker.requests.append(("GET", self.path, {}, b""))
+                self.say(200, worker.load)
 
         self.server = _Server(("127.0.0.1", 0), Handler)
         self.port = int(self.server.server_address[1])
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def serve(self, rid: str, handler: Any) -> None:
+        """Accept a job with a 202 and report its success at once."""
         self.ran[rid] += 1
         handler.say(202)
         self.send_callback(rid, "done", result=f"{self.name} ran {rid}")
 
     def send_callback(self, rid: str, state: str, **more: Any) -> int:
+        """Report the state of a request; return the HTTP status of the answer."""
         body = json.dumps({"id": rid, "from": self.name, "state": state, **more}).encode()
         return http_call(self.callback_address, "POST", "/_jobs/news", body)[0]
 
     def stop(self) -> None:
+        """Stop serving and close the port."""
         self.server.shutdown()
         self.server.server_close()
 
@@ -189,61 +213,79 @@
 def http_call(
     address: str, method: str, path: str, body: bytes = b"", **headers: str
 ) -> tuple[int, bytes, dict[str, str]]:
+    """Send one request on a connection of its own; return status, body and headers by lower-case name.
+
+    An underscore in the name of a header argument stands for a hyphen.
+    """
     host, port = address.split(":")
-    conn = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_SECONDS)
+    connection = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_SECONDS)
     try:
-        conn.request(method, path, body, {k.replace("_", "-"): v for k, v in headers.items()})
-        response = conn.getresponse()
-        return response.status, response.read(), {k.lower(): v for k, v in response.getheaders()}
+        connection.request(
+            method, path, body, {name.replace("_", "-"): value for name, value in headers.items()}
+        )
+        response = connection.getresponse()
+        return (
+            response.status,
+            response.read(),
+            {name.lower(): value for name, value in response.getheaders()},
+        )
     finally:
-        conn.close()
+        connection.close()
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """What still comes, until the connection ends."""
-    got = b""
+    """Return all that is received until the connection ends or is reset."""
+    received = b""
     with contextlib.suppress(ConnectionResetError):
         while more := sock.recv(65536):
-            got += more
-    return got
+            received += more
+    return received
 
 
 class GearmanPeer:
-    """A client's or a worker's end of the Gearman protocol."""
+    """The end of a Gearman connection that a client or a worker has."""
 
     def __init__(self, address: str) -> None:
         host, port = address.split(":")
         self.sock = socket.create_connection((host, int(port)), timeout=TIMEOUT_SECONDS)
         self.reader = Reader(RESPONSE)
-        self.waiting: list[Packet] = []
+        self.received: list[Packet] = []  # and not yet returned
 
     def put(self, kind: Kind, *args: bytes) -> None:
+        """Send a packet."""
         self.sock.sendall(pack(kind, *args, magic=b"\0REQ"))
 
     def get(self) -> Packet:
-        while not self.waiting:
+        """Return the next packet. Raises `EOFError` where the connection ends."""
+        while not self.received:
             data = self.sock.recv(65536)
             if not data:
                 raise EOFError
-            self.waiting += [p for p in self.reader.feed(data) if isinstance(p, Packet)]
-        return self.waiting.pop(0)
+            self.received += [packet for packet in self.reader.feed(data) if isinstance(packet, Packet)]
+        return self.received.pop(0)
 
     def ask(self, kind: Kind, *args: bytes) -> Packet:
+        """Send a packet and return the next one received."""
         self.put(kind, *args)
         return self.get()
 
     def wait_for_packet(self, *kinds: Kind) -> Packet:
+        """Return the next packet of one of these kinds; others are dropped."""
         while True:
             packet = self.get()
             if packet.kind in kinds:
                 return packet
 
     def close(self) -> None:
+        """Close the connection."""
         self.sock.close()
 
 
 class GearmanWorker:
-    """Grabs jobs in a thread of its own, counts them and acts on them."""
+    """Grabs jobs in a thread of its own and counts them.
+
+    `on_job` is called with each job and returns whether to go on; without it each job succeeds at once.
+    """
 
     def __init__(
         self,
@@ -261,6 +303,7 @@
         self.thread.start()
 
     def _run(self) -> None:
+        """Grab jobs until `on_job` says to stop or the connection ends."""
         try:
             while True:
                 self.peer.put(Kind.GRAB_JOB_UNIQ)
@@ -280,6 +323,7 @@
             pass
 
     def close(self) -> None:
+        """Close the connection and wait for the thread to end."""
         with contextlib.suppress(OSError):
             self.peer.sock.shutdown(socket.SHUT_RDWR)
         self.thread.join(TIMEOUT_SECONDS)
@@ -287,7 +331,11 @@
 
 
 class InheritedSocket:
-    """The listening socket that the platform holds, and the folder that an old and a new process share."""
+    """The listening socket that the platform passes on, and the directory that both processes
+    of an upgrade share.
+
+    `depth` lengthens the name of the directory by so many characters.
+    """
 
     def __init__(self, depth: int = 0) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -296,12 +344,17 @@
         self.folder = tempfile.TemporaryDirectory(prefix="x" * depth)
 
     def close(self) -> None:
+        """Close the socket and remove the directory."""
         self.sock.close()
         self.folder.cleanup()
 
 
 class Program:
-    """The program itself, in a process of its own, with the fronts that are asked for."""
+    """The program in a process of its own, with the given fronts, on which it listens at free ports.
+
+    `prelude`: Python code that runs in the process before the program, to break it at a point of the test's
+    choice. `platform`: start it by the platform's own command and with the repository's fronts file.
+    """
 
     def __init__(
         self, discovery: Discovery, optimized: bool = True, fronts: tuple[str, ...] | dict[str, str] = (),
@@ -310,42 +363,42 @@
         **config: Any,
     ) -> None:  # fmt: skip
         self.folder = tempfile.TemporaryDirectory()
-        path = Path(self.folder.name)
+        directory = Path(self.folder.name)
         said = {
             "name": "t1", "listen": "127.0.0.1:0", "discovery": discovery.address, "seed": "1f",
             "limits": {"sockets": 1024}, "settings": SETTINGS, **config,
         }  # fmt: skip
-        self.said, self.config = said, path / "config.json"
+        self.said, self.config = said, directory / "config.json"
         self.config.write_text(json.dumps(said))
         listen = fronts if isinstance(fronts, dict) else dict.fromkeys(fronts, "127.0.0.1:0")
-        parts: dict[str, Any] = {f: {"listen": at} for f, at in listen.items()}
+        features: dict[str, Any] = {front: {"listen": address} for front, address in listen.items()}
         if durable is not None:
-            parts["durable"] = durable
+            features["durable"] = durable
         if store is not None:
-            parts["store"] = store
-        (path / "fronts.json").write_text(json.dumps(parts))
-        env = {**os.environ, "GW_CONFIG": str(path / "config.json"), "EIDERPIN_LOG_FORMAT": "logfmt",
-               "EIDERPIN_FRONTS": str(path / "fronts.json")}  # fmt: skip
-        if platform:  # as the platform starts it: its own line, the repository's fronts file
+            features["store"] = store
+        (directory / "fronts.json").write_text(json.dumps(features))
+        env = {**os.environ, "GW_CONFIG": str(directory / "config.json"), "EIDERPIN_LOG_FORMAT": "logfmt",
+               "EIDERPIN_FRONTS": str(directory / "fronts.json")}  # fmt: skip
+        if platform:
             del env["EIDERPIN_FRONTS"]
         pass_fds: tuple[int, ...] = ()
         if inherits is not None:
             env |= {"GW_FD": str(inherits.sock.fileno()), "TMPDIR": inherits.folder.name}
             pass_fds = (inherits.sock.fileno(),)
-        # A prelude breaks the program in a place of the test's choice.
-        what = ["-c", f"{prelude}\nimport sys, eiderpin.service\nsys.exit(eiderpin.service.main())"]
-        what = what if prelude else ["-m", "eiderpin"]
-        command = [sys.executable, *(["-O"] if optimized else []), *what]
+        arguments = ["-c", f"{prelude}\nimport sys, eiderpin.service\nsys.exit(eiderpin.service.main())"]
+        arguments = arguments if prelude else ["-m", "eiderpin"]
+        command = [sys.executable, *(["-O"] if optimized else []), *arguments]
         if platform:
             command = ["/bin/sh", "-c", platform_run()]
         self.process = subprocess.Popen(
             command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True, pass_fds=pass_fds
         )
-        self.lines: list[str] = []
+        self.lines: list[str] = []  # of its log, after the first
         assert self.process.stderr is not None
         first = self.process.stderr.readline()
         if first.startswith("Traceback"):
             first += self.process.stderr.read()
+        # The first line gives the address of each front as NAME=HOST:PORT.
         self.at = dict(part.split("=") for part in first.split() if part.count("=") == 1)
         assert "edge" in self.at, first
         self.http_address = self.at["edge"]
@@ -353,29 +406,31 @@
         self.reader_thread.start()
 
     def _read(self) -> None:
+        """Collect the lines of the log until the process ends."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.lines.append(line.rstrip())
 
     def ready(self) -> None:
+        """Wait until the program is ready for requests."""
         wait_for(lambda: http_call(self.http_address, "GET", "/_health")[0] == 200, "the program to be ready")
 
     def reload_config(self, text: str | None = None, **config: Any) -> None:
-        """Replace the configuration and have it read again."""
+        """Replace these entries of the configuration, or the file by `text`, and have it read again."""
         self.said = {**self.said, **config}
         self.config.write_text(json.dumps(self.said) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
     def counters(self) -> dict[str, int]:
-        """What it prints on SIGUSR1."""
+        """Return the counters, which the program prints on SIGUSR1."""
         start = len(self.lines)
         self.process.send_signal(signal.SIGUSR1)
         wait_for(lambda: "end of counters" in self.lines[start:], "counters")
-        got = [line.rsplit(" ", 1) for line in self.lines[start:]]
-        return {x[0]: int(x[1]) for x in got if len(x) == 2 and x[1].isdigit()}
+        printed = [line.rsplit(" ", 1) for line in self.lines[start:]]
+        return {pair[0]: int(pair[1]) for pair in printed if len(pair) == 2 and pair[1].isdigit()}
 
     def stop(self) -> int:
-        """SIGTERM and the exit code."""
+        """Send SIGTERM, wait for the process to end and return its exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -397,7 +452,10 @@
     silent: bool = False,
     **config: Any,
 ) -> Iterator[tuple[Program, Discovery]]:
-    """The program, ready, with discovery and these workers; ends all of them, and checks its end."""
+    """Run the program with discovery and these workers; it is ready where there are workers.
+
+    At the end all are stopped, and it is checked that the program ended cleanly and logged no fault.
+    """
     discovery = Discovery()
     discovery.silent = silent
     for worker in workers:
@@ -409,8 +467,8 @@
         if workers:
             program.ready()
         yield program, discovery
-        broken = [line for line in program.lines if "Traceback" in line or "invariant" in line]
-        assert not broken, program.lines
+        faults = [line for line in program.lines if "Traceback" in line or "invariant" in line]
+        assert not faults, program.lines
     finally:
         code = program.stop()
         discovery.stop()
