--- a/benchmarks/crash_jobs.py
+++ b/benchmarks/crash_jobs.py
@@ -54,7 +54,7 @@
         for i in range(4):
             self.logs.append(RunLog(self.folder / f"gearman-{i}.ran"))
             rng = random.Random(self.rng.random())
-            tasks.append(asyncio.create_task(gearman_worker(program.gearman, self.logs[-1], rng, RUN)))
+            tasks.append(asyncio.create_task(gearman_worker(program.gearman_port, self.logs[-1], rng, RUN)))
         program.start()
         await program.ready()
         begun = time.monotonic()
@@ -83,7 +83,7 @@
             gearman = rng.random() < 0.5
             asks = 2 if rng.random() < 0.1 else 1  # some ask again after their answer, by either front
             for _ in range(asks):
-                ask, port = (ask_gearman, program.gearman) if gearman else (ask_http, program.http_port)
+                ask, port = (ask_gearman, program.gearman_port) if gearman else (ask_http, program.http_port)
                 # By either front the same job has the same target and body.
                 try:
                     self.answers.setdefault(name, []).append(await ask(port, name, body))
@@ -146,7 +146,7 @@
         return {
             "posts": self.args.posts, "kills": self.kills, "disk_faults": self.faults, "seed": self.args.seed,
             "seconds": round(took, 1), "ran": sum(ran.values()), "served": sum(a.served for a in firsts),
-            "failed": sum(not a.served for a in firsts), "asked_again": sum(a.asked > 1 for a in firsts),
+            "failed": sum(not a.served for a in firsts), "asked_again": sum(a.tries > 1 for a in firsts),
             "most_runs_of_one": max(ran.values(), default=0), "broken": self.broken[:20],
         }  # fmt: skip
 
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -36,7 +36,7 @@
         pipe.send(worker.port)
         while True:
             worker.callback_port = await asyncio.to_thread(pipe.recv)
-            worker.calls.clear()
+            worker.idle.clear()
 
     with contextlib.suppress(EOFError, KeyboardInterrupt):
         asyncio.run(serve())
--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -1,12 +1,14 @@
-"""What a fleet of dispatchers meets, on loopback: stand-in workers with slots and warm-up, and discovery.
-
-A worker runs at most `slots` jobs at once and starts the rest in their order (PROTOCOL, "Dispatchers to
-workers"): it answers 202, tells `started` when a slot takes the job and `done` or `failed` at its end. While
-cold it works at `warmth` of its speed, from `cold_share` up to 1 over `warm_up`; held above `fall_multiple`
-times its present capacity for `fall_ms` it falls over, which the rig counts as a broken rule. Each worker
-counts what the fleet costs it: new connections (handshakes), probes, connections held, and the load that all
-dispatchers together put on it while cold. A job's `Req-Id` begins with its dispatcher's number, so that a
-worker knows where to tell of it without a header of its own.
+"""Stand-ins for the surroundings of a fleet of dispatchers, on loopback: workers with slots, and discovery.
+
+A worker runs at most `slots` jobs at once and starts the others in their order (PROTOCOL, "Dispatchers to
+workers"): it answers 202, reports `started` when a slot takes the job, and `done` or `failed` at its end. A
+cold worker runs at a part of its speed, which rises from `cold_share` to 1 within `warm_up`. If its load
+stays above `fall_multiple` times its present capacity for longer than `fall`, it falls over; the
+measurement counts that as a violation of the protocol.
+
+Each worker counts what the fleet costs it: new connections (handshakes), probes, connections held open, and
+the load that all dispatchers together put on it while it is cold. A job's `Req-Id` begins with the number of
+its dispatcher, so that the worker knows where to send call-backs.
 """
 
 from __future__ import annotations
@@ -23,19 +25,19 @@
 
 from benchmarks import rig
 
-ENDED = (*rig.CONNECTION_ERRORS, asyncio.CancelledError)  # a server's connection at the end of the run
-WAITS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.5, 0.5, 0.5)  # s between the tries of a call-back
-SLACK = 0.05  # s: every time limit of the protocol is this much longer
+SERVING_ENDED = (*rig.CONNECTION_ERRORS, asyncio.CancelledError)  # how a server's connection may end
+CALLBACK_DELAYS_SECONDS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.5, 0.5, 0.5)  # after each failed try
+TOLERANCE_SECONDS = 0.05  # time limits of the protocol count as exceeded only by more than this
 
 
 def clock() -> float:
-    """Unix time, s: a worker's start is told in it (`startedAtMs`), and all machines read one clock."""
+    """Return Unix time in seconds, which discovery uses for a worker's start (`startedAtMs`)."""
     return time.time()
 
 
 @dataclass(slots=True)
 class Rules:
-    """The figures of the settings that the world keeps to, in seconds."""
+    """The part of the settings that the workers apply; times in seconds."""
 
     warm_up: float = 8.9
     cold_share: float = 0.34
@@ -46,107 +48,121 @@
 
 @dataclass(slots=True)
 class Job:
+    """A job that a worker holds. Times are Unix time in seconds."""
+
     rid: str
     cls: str
     work: float  # s at full speed
     need: int
-    came: float
-    started: float = -1.0
+    received_at: float
+    started_at: float = -1.0
     cancelled: bool = False
 
 
 @dataclass(slots=True)
 class Costs:
-    """What the fleet has cost one worker."""
+    """What the fleet has cost one worker, and where it broke the protocol."""
 
-    connections: int = 0  # accepted, each a handshake
+    connections: int = 0  # accepted
     probes: int = 0
-    most_open: int = 0
+    max_open: int = 0  # connections at once
     jobs: int = 0
-    cold_load: float = 0.0  # most held over present capacity, while cold
-    over_since: float | None = None
-    fell: int = 0
-    late_sends: list[str] = field(default_factory=list)  # jobs that came past a drain's grace
+    max_cold_load: float = 0.0  # load relative to present capacity, while cold
+    overloaded_since: float | None = None
+    falls: int = 0
+    late_sends: list[str] = field(default_factory=list)  # requests that came after a drain's grace
 
 
 def response(status: int, body: bytes = b"", reason: str = "OK") -> bytes:
+    """Return a complete HTTP response."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n" % (status, reason.encode(), len(body)) + body
 
 
 class Worker(rig.Server):
-    """One stand-in worker. `bad`: the share of its jobs that fail at once; `slow`: its run time multiple."""
+    """One stand-in worker.
+
+    `failing_share`: the share of its jobs that fail at once. `slowdown`: factor of its run times. `born`:
+    when its process started, 0 for a warm one. `callback_ports`: by the number of the dispatcher.
+    """
 
     def __init__(
-        self, name: str, zone: str, slots: int, rules: Rules, backs: dict[int, int], rng: random.Random,
-        bad: float = 0.0, slow: float = 1.0, born: float = 0.0,
+        self, name: str, zone: str, slots: int, rules: Rules, callback_ports: dict[int, int],
+        rng: random.Random, failing_share: float = 0.0, slowdown: float = 1.0, born: float = 0.0,
     ) -> None:  # fmt: skip
         super().__init__()
-        self.name, self.zone, self.slots, self.rules, self.backs = name, zone, slots, rules, backs
-        self.rng, self.bad, self.slow, self.born = rng, bad, slow, born
+        self.name, self.zone, self.slots, self.rules, self.callback_ports = (
+            name, zone, slots, rules, callback_ports,
+        )  # fmt: skip
+        self.rng, self.failing_share, self.slowdown, self.born = rng, failing_share, slowdown, born
         self.lifecycle = "Ready"
-        self.leaving_at: float | None = None  # when the list said it drains or is gone
-        self.cut = False  # its machine is cut off: it says nothing, and takes no new connection
+        self.leaving_at: float | None = None  # when the list said that it drains or is gone
+        self.cut_off = False  # from the network: it sends nothing and accepts no connection
         self.queue: deque[Job] = deque()
         self.running: dict[str, Job] = {}
-        self.used = 0
+        self.used_slots = 0
         self.costs = Costs()
         self.ran: Counter[str] = Counter()  # runs begun, by request id
-        self.results: set[str] = set()  # what it gave as results
-        self.calls: dict[int, rig.Idle] = {}
+        self.results: set[str] = set()  # that it returned
+        self.idle: dict[int, rig.Idle] = {}  # connections for call-backs, by port
         self.tasks: set[asyncio.Task[None]] = set()
 
     def restart(self, now: float) -> None:
-        """A new process: what it held is lost, and it begins cold."""
-        self.born, self.cut = now, False
+        """Restart the process: all its jobs are lost, and it is cold."""
+        self.born, self.cut_off = now, False
         self.queue.clear()
         self.running.clear()
-        self.used = 0
+        self.used_slots = 0
         self.close_connections()
 
     # -- load
 
     def warmth(self, now: float) -> float:
-        done = min(1.0, max(0.0, now - self.born) / self.rules.warm_up) if self.born else 1.0
-        return self.rules.cold_share + (1.0 - self.rules.cold_share) * done
+        """Return its present speed as a share of full speed."""
+        warmed_share = min(1.0, max(0.0, now - self.born) / self.rules.warm_up) if self.born else 1.0
+        return self.rules.cold_share + (1.0 - self.rules.cold_share) * warmed_share
 
-    def look(self, now: float) -> None:
-        """What all dispatchers together hold here, over what it bears now; falling over is counted once."""
+    def check_load(self, now: float) -> None:
+        """Record the load of all dispatchers relative to present capacity, and whether it falls over."""
         warmth = self.warmth(now)
-        held = self.used + sum(j.need for j in self.queue)
+        held = self.used_slots + sum(job.need for job in self.queue)
         if warmth >= 1.0:
-            self.costs.over_since = None
+            self.costs.overloaded_since = None
             return
         ratio = held / (self.slots * warmth)
-        self.costs.cold_load = max(self.costs.cold_load, ratio)
+        self.costs.max_cold_load = max(self.costs.max_cold_load, ratio)
         if ratio <= self.rules.fall_multiple:
-            self.costs.over_since = None
-        elif self.costs.over_since is None:
-            self.costs.over_since = now
-        elif now - self.costs.over_since > self.rules.fall + SLACK:
-            self.costs.fell += 1
-            self.costs.over_since = None
+            self.costs.overloaded_since = None
+        elif self.costs.overloaded_since is None:
+            self.costs.overloaded_since = now
+        elif now - self.costs.overloaded_since > self.rules.fall + TOLERANCE_SECONDS:
+            self.costs.falls += 1
+            self.costs.overloaded_since = None
 
     # -- serving
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.cut:
-            writer.close()  # as good as never coming up: the dispatcher's connect times out or is reset
+        """Serve one connection of a dispatcher."""
+        if self.cut_off:
+            writer.close()  # for the dispatcher the same as a connection that never comes up
             return
         self.costs.connections += 1
         self.open.add(writer)
-        self.costs.most_open = max(self.costs.most_open, len(self.open))
-        with contextlib.suppress(*ENDED):
+        self.costs.max_open = max(self.costs.max_open, len(self.open))
+        with contextlib.suppress(*SERVING_ENDED):
             while True:
                 first, headers, body = await rig.read_message(reader)
                 method, target, _ = first.split(" ", 2)
-                came = clock()
-                while self.cut:
-                    await asyncio.sleep(0.05)  # silent: open connections stay open and say nothing
-                writer.write(self.answer(method, target, headers, body, came))
+                received_at = clock()
+                while self.cut_off:
+                    await asyncio.sleep(0.05)  # open connections stay open, but nothing is sent
+                writer.write(self.answer(method, target, headers, body, received_at))
         writer.close()
         self.open.discard(writer)
 
-    def answer(self, method: str, target: str, headers: dict[str, str], body: bytes, came: float) -> bytes:
+    def answer(
+        self, method: str, target: str, headers: dict[str, str], body: bytes, received_at: float
+    ) -> bytes:
+        """Handle one request; return the response."""
         now = clock()
         if method == "GET":
             self.costs.probes += 1
@@ -157,18 +173,22 @@
         rid = headers.get("req-id", "")
         if not rid:
             return response(404, reason="Not Found")
-        if self.leaving_at is not None and came > self.leaving_at + self.rules.drain_grace + SLACK:
+        if (
+            self.leaving_at is not None
+            and received_at > self.leaving_at + self.rules.drain_grace + TOLERANCE_SECONDS
+        ):
             self.costs.late_sends.append(rid)
-        said: dict[str, Any] = json.loads(body or b"{}")
+        fields: dict[str, Any] = json.loads(body or b"{}")
         cls = target.strip("/").split("?")[0]
-        job = Job(rid, cls, float(said.get("work", 0.1)), int(said.get("need", 1)), now)
+        job = Job(rid, cls, float(fields.get("work", 0.1)), int(fields.get("need", 1)), now)
         self.costs.jobs += 1
         self.queue.append(job)
-        self.look(now)
+        self.check_load(now)
         self.start_what_fits(now)
         return response(202, reason="Accepted")
 
     def drop(self, rid: str) -> None:
+        """Cancel a job. If it runs, it goes on, but its end is not reported."""
         for job in self.queue:
             if job.rid == rid:
                 self.queue.remove(job)
@@ -178,50 +198,58 @@
             running.cancelled = True
 
     def start_what_fits(self, now: float) -> None:
-        """In their order: the first waits until it fits."""
-        while self.queue and self.used + self.queue[0].need <= self.slots:
+        """Start queued jobs in their order, as long as the first one fits."""
+        while self.queue and self.used_slots + self.queue[0].need <= self.slots:
             job = self.queue.popleft()
-            job.started = now
-            self.used += job.need
+            job.started_at = now
+            self.used_slots += job.need
             self.running[job.rid] = job
             self.ran[job.rid] += 1
             self.spawn(self.run(job))
 
-    def spawn(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine in the background."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run(self, job: Job) -> None:
+        """Run a job and report its start and end."""
         born = self.born
-        self.spawn(self.tell(job.rid, {"state": "started"}))
-        failed = self.rng.random() < self.bad
-        took = 0.005 if failed else job.work * self.slow / self.warmth(clock())
-        await asyncio.sleep(took)
+        self.spawn(self.send_callback(job.rid, {"state": "started"}))
+        fails = self.rng.random() < self.failing_share
+        run_seconds = 0.005 if fails else job.work * self.slowdown / self.warmth(clock())
+        await asyncio.sleep(run_seconds)
         if self.born != born or self.running.pop(job.rid, None) is None:
-            return  # it restarted meanwhile, and the job was lost with it
-        self.used -= job.need
+            return  # it has restarted, and the job is lost
+        self.used_slots -= job.need
         if not job.cancelled:
             result = f"{self.name} ran {job.rid}"
-            if not failed:
+            if not fails:
                 self.results.add(result)
-            news = {"state": "failed"} if failed else {"state": "done", "result": result}
-            self.spawn(self.tell(job.rid, news))
+            callback = {"state": "failed"} if fails else {"state": "done", "result": result}
+            self.spawn(self.send_callback(job.rid, callback))
         now = clock()
         self.start_what_fits(now)
-        self.look(now)
+        self.check_load(now)
 
-    async def tell(self, rid: str, news: dict[str, Any]) -> None:
-        """Each call is tried until it is answered, at most ten times."""
-        back = self.backs.get(int(rid.split("-", 1)[0][1:]))
-        if back is None:
+    async def send_callback(self, rid: str, state: dict[str, Any]) -> None:
+        """Send a call-back to the dispatcher of a request; tried at most ten times."""
+        callback_port = self.callback_ports.get(int(rid.split("-", 1)[0][1:]))
+        if callback_port is None:
             return
-        news = {"id": rid, "from": self.name, **news}
-        await rig.tell(back, self.calls.setdefault(back, []), news, WAITS, lambda: self.cut)
+        callback = {"id": rid, "from": self.name, **state}
+        await rig.send_callback(
+            callback_port,
+            self.idle.setdefault(callback_port, []),
+            callback,
+            CALLBACK_DELAYS_SECONDS,
+            lambda: self.cut_off,
+        )
 
 
 class Discovery(rig.Server):
-    """The list at one address, with watches (PROTOCOL, "Discovery"); what it holds changes when told."""
+    """A stand-in for discovery: one list with watches on it (PROTOCOL, "Discovery")."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -229,16 +257,18 @@
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.changed = asyncio.Condition()
-        self.asked = 0
+        self.request_count = 0
 
     def entry(self, worker: Worker) -> dict[str, Any]:
+        """Return a worker's entry as it is now."""
         return {
             "instanceId": worker.name, "hostPort": f"127.0.0.1:{worker.port}", "zone": worker.zone,
             "machineType": "m", "cell": 0, "lifecycle": worker.lifecycle, "weight": 1.0,
             "startedAtMs": int(worker.born * 1000) if worker.born else 0,
         }  # fmt: skip
 
-    async def tell(self, workers: list[Worker]) -> None:
+    async def publish(self, workers: list[Worker]) -> None:
+        """Publish the present entries of these workers as one change of the list."""
         async with self.changed:
             self.generation += 1
             for worker in workers:
@@ -247,28 +277,33 @@
                 self.changes.append((self.generation, entry))
             self.changed.notify_all()
 
-    def whole(self) -> dict[str, Any]:
-        rows = [e for e in self.entries.values() if e["lifecycle"] != "Gone"]
+    def complete_list(self) -> dict[str, Any]:
+        """Return the complete list in the form of an answer."""
+        rows = [entry for entry in self.entries.values() if entry["lifecycle"] != "Gone"]
         return {"generation": self.generation, "reset": True, "instances": rows}
 
-    def newer(self, than: int) -> Callable[[], bool]:
-        return lambda: self.generation > than
+    def has_passed(self, generation: int) -> Callable[[], bool]:
+        """Return a predicate: whether the list is newer than this generation."""
+        return lambda: self.generation > generation
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(*ENDED):
+        """Serve one connection of a dispatcher."""
+        with contextlib.suppress(*SERVING_ENDED):
             while True:
                 first, _, _ = await rig.read_message(reader)
                 target = first.split(" ", 2)[1]
-                self.asked += 1
-                query = dict(p.split("=", 1) for p in target.partition("?")[2].split("&") if "=" in p)
-                after, wait = int(query.get("after", -1)), int(query.get("wait_ms", 0)) / 1000
+                self.request_count += 1
+                query = dict(
+                    pair.split("=", 1) for pair in target.partition("?")[2].split("&") if "=" in pair
+                )
+                after, wait_seconds = int(query.get("after", -1)), int(query.get("wait_ms", 0)) / 1000
                 async with self.changed:
                     with contextlib.suppress(TimeoutError):
-                        await asyncio.wait_for(self.changed.wait_for(self.newer(after)), wait)
+                        await asyncio.wait_for(self.changed.wait_for(self.has_passed(after)), wait_seconds)
                     if after < 0 or after < self.generation - len(self.changes):
-                        said = self.whole()
+                        answer = self.complete_list()
                     else:
-                        rows = [e for g, e in self.changes if g > after]
-                        said = {"generation": self.generation, "reset": False, "instances": rows}
-                writer.write(response(200, json.dumps(said).encode()))
+                        rows = [entry for generation, entry in self.changes if generation > after]
+                        answer = {"generation": self.generation, "reset": False, "instances": rows}
+                writer.write(response(200, json.dumps(answer).encode()))
         writer.close()
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,4 +1,4 @@
-"""What the measurements share: the real program, workers that log what they ran, clients. On loopback."""
+"""What the measurements share, on loopback: the program as a process, workers that log runs, clients."""
 
 from __future__ import annotations
 
@@ -22,29 +22,32 @@
 
 ROOT = Path(__file__).parent.parent
 CONNECTION_ERRORS = (OSError, EOFError, asyncio.IncompleteReadError)
-Idle = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]  # connections to one address, kept open
+Idle = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]  # open connections to one address
 
 
-BLOCK = 100  # ports that one process hands out; no other one hands out any of these meanwhile
-_block: list[int] = []  # that are left of ours
-_locks: list[int] = []  # that make our blocks ours, until we end
+PORTS_PER_BLOCK = 100  # a process reserves ports in blocks of this size
+_free_ports: list[int] = []  # of the reserved blocks, not yet returned
+_lock_fds: list[int] = []  # locked files that reserve the blocks until this process ends
 
 
 def free_port() -> int:
-    """One that a process to come can have again and again: below those that the system gives to whoever asks
-    for any, and of a block that no other test or measurement draws from, which might take it while that
-    process is down."""
+    """Return a port of 127.0.0.1 that a server can bind again after each restart.
+
+    The port lies below the range that the system assigns on its own, and in a block that no other test or
+    measurement draws from; otherwise another process could take it while the server is down.
+    """
     while True:
-        if not _block:
-            _block.extend(_own_block())
-        port = _block.pop()
+        if not _free_ports:
+            _free_ports.extend(_reserve_block())
+        port = _free_ports.pop()
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", port))
             return port
 
 
-def _own_block() -> list[int]:
-    starts = list(range(10_000, 30_000, BLOCK))
+def _reserve_block() -> list[int]:
+    """Reserve a block of ports until this process ends. Raises `OSError` where none is left."""
+    starts = list(range(10_000, 30_000, PORTS_PER_BLOCK))
     random.SystemRandom().shuffle(starts)
     for start in starts:
         path = os.path.join(tempfile.gettempdir(), f"eiderpin-ports-{start}.lock")
@@ -54,12 +57,13 @@
         except BlockingIOError:
             os.close(fd)
             continue
-        _locks.append(fd)
-        return list(range(start, start + BLOCK))
+        _lock_fds.append(fd)
+        return list(range(start, start + PORTS_PER_BLOCK))
     raise OSError("every block of ports is taken")
 
 
 def settings(deadline: float = 30_000.0) -> dict[str, Any]:
+    """Return settings with two classes, whose requests have `deadline` ms."""
     return {
         "classes": [
             {"name": "result-post", "aim": 500.0, "hard_limit": deadline, "late_worth": 0.9,
@@ -76,35 +80,36 @@
 
 
 class Program:
-    """The dispatcher in a process of its own, at the same addresses each time that it is started."""
+    """The program in a process of its own. Its ports stay the same when it is started again."""
 
     def __init__(
         self, folder: Path, workers: list[tuple[str, int]], durable: dict[str, Any] | None, slots: int = 8,
         store: dict[str, Any] | None = None,
     ) -> None:  # fmt: skip
-        self.http_port, self.gearman = free_port(), free_port()
-        self.config, self.parts = folder / "config.json", folder / "parts.json"
+        self.http_port, self.gearman_port = free_port(), free_port()
+        self.config, self.features = folder / "config.json", folder / "parts.json"
         rows = [{"name": name, "address": f"127.0.0.1:{port}", "slots": slots} for name, port in workers]
-        said = {"name": "bench", "listen": f"127.0.0.1:{self.http_port}", "workers": rows,
-                "settings": settings(), "limits": {"sockets": 4096, "memory_mb": 256}}  # fmt: skip
-        self.config.write_text(json.dumps(said))
-        parts: dict[str, Any] = {"gearman": {"listen": f"127.0.0.1:{self.gearman}"}}
+        config = {"name": "bench", "listen": f"127.0.0.1:{self.http_port}", "workers": rows,
+                  "settings": settings(), "limits": {"sockets": 4096, "memory_mb": 256}}  # fmt: skip
+        self.config.write_text(json.dumps(config))
+        features: dict[str, Any] = {"gearman": {"listen": f"127.0.0.1:{self.gearman_port}"}}
         if durable is not None:
-            parts["durable"] = durable
+            features["durable"] = durable
         if store is not None:
-            parts["store"] = store
-        self.parts.write_text(json.dumps(parts))
+            features["store"] = store
+        self.features.write_text(json.dumps(features))
         self.errors = folder / "stderr"
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
+        """Start the process; its log is appended to the file `errors`."""
         command = [sys.executable, "-O", "-m", "eiderpin", "run", "--config", str(self.config), "--parts",
-                   str(self.parts), "--log-format", "json"]  # fmt: skip
+                   str(self.features), "--log-format", "json"]  # fmt: skip
         with self.errors.open("ab") as errors:
             self.process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=errors)
 
     async def ready(self, within: float = 20.0) -> None:
-        """Raises `TimeoutError`."""
+        """Wait until the program is ready for requests. Raises `TimeoutError` after `within` seconds."""
         async with asyncio.timeout(within):
             while True:
                 with contextlib.suppress(*CONNECTION_ERRORS):
@@ -114,6 +119,7 @@
                 await asyncio.sleep(0.01)
 
     def kill(self, number: signal.Signals = signal.SIGKILL) -> None:
+        """Send the signal and wait for the process to end."""
         assert self.process is not None
         self.process.send_signal(number)
         self.process.wait()
@@ -122,7 +128,7 @@
 async def http_request(
     port: int, method: str, path: str, body: bytes = b"", **headers: str
 ) -> tuple[int, bytes, dict[str, str]]:
-    """One request on a connection of its own."""
+    """Send one request on a connection of its own; return status, body and headers."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         return await http_request_on(reader, writer, method, path, body, **headers)
@@ -131,9 +137,11 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """A request's or an answer's first line, headers by lower-case name, and body."""
+    """Read a request or a response: its first line, its headers by lower-case name, and its body."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    headers = {n.lower(): v.strip() for n, _, v in (line.partition(":") for line in lines if line)}
+    headers = {
+        name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines if line)
+    }
     return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
@@ -141,21 +149,32 @@
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, method: str, path: str, body: bytes = b"",
     **headers: str,
 ) -> tuple[int, bytes, dict[str, str]]:  # fmt: skip
+    """Send one request on an open connection; return status, body and headers by lower-case name.
+
+    An underscore in the name of a header argument stands for a hyphen.
+    """
     lines = [f"{method} {path} HTTP/1.1", "Host: bench", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-    first, got, said = await read_message(reader)
-    return int(first.split()[1]), said, got
+    first, response_headers, response_body = await read_message(reader)
+    return int(first.split()[1]), response_body, response_headers
 
 
-async def tell(
-    callback_port: int, idle: Idle, news: dict[str, Any], waits: tuple[float, ...], silent: Callable[[], bool]
+async def send_callback(
+    callback_port: int,
+    idle: Idle,
+    callback: dict[str, Any],
+    delays: tuple[float, ...],
+    is_silent: Callable[[], bool],
 ) -> None:
-    """A worker's call-back, tried until it is answered, at most once for each of `waits` (s between tries);
-    not while the worker is `silent`."""
-    body = json.dumps(news).encode()
-    for wait in waits:
-        while silent():
+    """Send a worker's call-back, and retry until it is answered.
+
+    There is one try for each of `delays`, the seconds to wait after a failed one, and none while the worker
+    is silent.
+    """
+    body = json.dumps(callback).encode()
+    for delay in delays:
+        while is_silent():
             await asyncio.sleep(0.05)
         with contextlib.suppress(*CONNECTION_ERRORS):
             reader, writer = idle.pop() if idle else await asyncio.open_connection("127.0.0.1", callback_port)
@@ -164,11 +183,11 @@
                 idle.append((reader, writer))
                 return
             writer.close()
-        await asyncio.sleep(wait)
+        await asyncio.sleep(delay)
 
 
 class Server:
-    """A stand-in that listens, and knows the connections that it has open."""
+    """A stand-in that listens at a free port and keeps track of its open connections."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -176,33 +195,41 @@
         self.open: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
+        """Listen; sets `port`."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
         raise NotImplementedError
 
     def close_connections(self) -> None:
+        """Close all open connections."""
         for writer in list(self.open):
             writer.close()
 
 
 class RunLog:
-    """What a worker ran, in a file of its own, written before the worker answers."""
+    """A worker's runs, in a file of its own. Each is written before the worker answers."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def note(self, job: str) -> None:
+        """Record that a job ran."""
         os.write(self.fd, job.encode() + b"\n")
 
     def jobs(self) -> list[str]:
+        """Return the jobs that ran, one entry per run."""
         return self.path.read_text().split()
 
 
 class HttpWorker(Server):
-    """Takes a job with a 202, and tells of its end at most ten times, until it is answered."""
+    """Accepts a job with a 202 and reports its end by a call-back, which is tried at most ten times.
+
+    A job takes a random time in `run`, a range in seconds.
+    """
 
     def __init__(
         self, name: str, log: RunLog, callback_port: int, rng: random.Random, run: tuple[float, float]
@@ -210,10 +237,10 @@
         super().__init__()
         self.name, self.log, self.callback_port, self.rng, self.run = name, log, callback_port, rng, run
         self.tasks: set[asyncio.Task[None]] = set()
-        self.calls: Idle = []
+        self.idle: Idle = []  # connections for call-backs
 
     async def stop(self) -> None:
-        """Close what is open, and wait for it: a task that is cancelled at the end makes asyncio complain."""
+        """Close all and wait for it: asyncio complains of a task that is cancelled at the end."""
         if self.server is not None:
             self.server.close()
         self.close_connections()
@@ -224,9 +251,9 @@
         self.open.add(writer)
         with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
-                first, got, _ = await read_message(reader)
+                first, headers, _ = await read_message(reader)
                 if first.startswith("POST"):
-                    job = got["req-id"]
+                    job = headers["req-id"]
                     self.log.note(job)
                     task = asyncio.create_task(self.work(job))
                     self.tasks.add(task)
@@ -238,48 +265,57 @@
         self.open.discard(writer)
 
     async def work(self, job: str) -> None:
+        """Run a job and report its end."""
         if self.run[1]:
             await asyncio.sleep(self.rng.uniform(*self.run))
-        news = {"id": job, "from": self.name, "state": "done", "result": f"ran {job}"}
-        waits = (0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.5, 0.5, 0.5, 0.5)
-        await tell(self.callback_port, self.calls, news, waits, lambda: False)
+        callback = {"id": job, "from": self.name, "state": "done", "result": f"ran {job}"}
+        delays = (0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.5, 0.5, 0.5, 0.5)
+        await send_callback(self.callback_port, self.idle, callback, delays, lambda: False)
 
 
 class Gearman:
-    """One connection, as a client or as a worker."""
+    """One connection of the Gearman protocol, as a client or as a worker."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.packets = Reader(RESPONSE)
-        self.waiting: list[Packet] = []
+        self.received: list[Packet] = []  # and not yet returned
 
     @classmethod
     async def connect(cls, port: int) -> Gearman:
+        """Connect to a dispatcher on loopback."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def put(self, kind: Kind, *args: bytes) -> None:
+        """Send a packet."""
         self.writer.write(pack(kind, *args, magic=b"\0REQ"))
 
     async def get(self) -> Packet:
-        while not self.waiting:
+        """Return the next packet. Raises `EOFError` where the connection ends."""
+        while not self.received:
             data = await self.reader.read(65536)
             if not data:
                 raise EOFError
-            self.waiting += [p for p in self.packets.feed(data) if isinstance(p, Packet)]
-        return self.waiting.pop(0)
+            self.received += [packet for packet in self.packets.feed(data) if isinstance(packet, Packet)]
+        return self.received.pop(0)
 
     async def wait_for_packet(self, *kinds: Kind) -> Packet:
+        """Return the next packet of one of these kinds; others are dropped."""
         while True:
             packet = await self.get()
             if packet.kind in kinds:
                 return packet
 
     def close(self) -> None:
+        """Close the connection."""
         self.writer.close()
 
 
 async def gearman_worker(port: int, log: RunLog, rng: random.Random, run: tuple[float, float]) -> None:
-    """Grabs and runs for ever; what it ran when its connection broke is lost with that, as usual there."""
+    """Grab and run jobs for ever, each for a random time in `run`, a range in seconds.
+
+    The result of a job whose connection broke meanwhile is lost, as is usual with Gearman.
+    """
     while True:
         with contextlib.suppress(*CONNECTION_ERRORS):
             peer = await Gearman.connect(port)
@@ -300,34 +336,39 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A client's final answer: served with a result, or failed; `asked`: how often it had to ask."""
+    """A client's final answer: served with a result, or failed."""
 
     served: bool
     result: bytes
-    asked: int
+    tries: int  # requests that the client had to send
 
 
 async def ask_http(port: int, name: str, body: bytes) -> Answer:
-    """Ask, and by the same name again where the connection dies or the job is turned down."""
-    for asked in range(1, 10_000):
+    """Submit a job by HTTP until there is a final answer.
+
+    The job is submitted again by the same name where the connection breaks or the job is rejected. Raises
+    `AssertionError` on an unexpected answer.
+    """
+    for tries in range(1, 10_000):
         try:
-            status, result, got = await http_request(
+            status, result, headers = await http_request(
                 port, "POST", "/result-post", body, Idempotency_Key=f'"{name}"'
             )
         except CONNECTION_ERRORS:
             await asyncio.sleep(0.05)
             continue
         if status == 503:
-            await asyncio.sleep(float(got.get("retry-after", 0.1)))
+            await asyncio.sleep(float(headers.get("retry-after", 0.1)))
             continue
         if status not in (200, 500):
             raise AssertionError(f"{name}: {status} {result!r}")
-        return Answer(status == 200, result, asked)
+        return Answer(status == 200, result, tries)
     raise AssertionError(f"{name}: no final answer")
 
 
 async def ask_gearman(port: int, name: str, body: bytes) -> Answer:
-    for asked in range(1, 10_000):
+    """Submit a job by the Gearman protocol until there is a final answer, as `ask_http` does."""
+    for tries in range(1, 10_000):
         try:
             peer = await Gearman.connect(port)
             peer.put(Kind.OPTION_REQ, b"exceptions")
@@ -341,9 +382,9 @@
             continue
         if packet.kind is Kind.ERROR:
             raise AssertionError(f"{name}: {packet.args!r}")
-        if packet.kind is Kind.WORK_EXCEPTION:  # turned down
+        if packet.kind is Kind.WORK_EXCEPTION:  # rejected
             await asyncio.sleep(0.1)
             continue
         served = packet.kind is Kind.WORK_COMPLETE
-        return Answer(served, packet.args[1] if served else b"", asked)
+        return Answer(served, packet.args[1] if served else b"", tries)
     raise AssertionError(f"{name}: no final answer")
