--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,4 +1,4 @@
 """Measurements, run by hand: `python -m benchmarks.NAME`.
 
-The last line is one JSON object; exit code 1 where a promise broke.
+The last line of output is one JSON object; the exit code is 1 where a check failed.
 """
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -1,12 +1,12 @@
-"""How long dispatchers take to come back, many at once beside one alone, by the store's word.
+"""Measures how long dispatchers take to rejoin after a kill: many at once, compared with a single one.
 
     python -m benchmarks.comeback --dispatchers N --seed S [--tree DIR]
 
-Real processes, each with a member of the store. In turn: one is killed and started again (the floor), then
-70% of them, all but one, all, and as many as may lose them without their disks. Printed are the times from
-the first start to the moment when the last one is there again under a new life, in ms; last one JSON object.
-Exit 1 where one never came back, or something that was acknowledged is gone. It measures the start of
-dispatchers, not their service to clients.
+Each dispatcher is a process with a member of the store. In turn, one is killed and started again (the
+floor), then 70% of them, all but one, and all; last, as many as the store tolerates lose their disks as well.
+Printed are the times in ms from the first start until the store lists the last one as live, in a new
+incarnation; the last line is one JSON object. Exit code 1 where a dispatcher did not rejoin or an
+acknowledged document is lost. This measures the start of dispatchers, not their service to clients.
 """
 
 from __future__ import annotations
@@ -28,33 +28,39 @@
 from eiderpin.store.client import StoreRequestError
 from eiderpin.store.names import LIVE_MEMBERS
 
-WITHIN = 60.0  # s for all to be there again
+REJOIN_LIMIT_SECONDS = 60.0
 
 
-def lives(it: Cluster) -> dict[str, str]:
-    """Who is there, by the store: name to what tells one life from the next."""
-    rows = it.store_client(10.0).ask("range", 0.3, prefix=LIVE_MEMBERS, most=1000)["documents"]
-    found = {}
+def live_incarnations(cluster: Cluster) -> dict[str, str]:
+    """Return the incarnation, or else the start time, of each dispatcher that the store lists as live.
+
+    Raises `StoreRequestError`.
+    """
+    rows = cluster.store_client(10.0).ask("range", 0.3, prefix=LIVE_MEMBERS, most=1000)["documents"]
+    incarnations = {}
     for row in rows:
-        said = orjson.loads(base64.b64decode(row["value"]))
-        found[row["name"].removeprefix(LIVE_MEMBERS)] = str(said.get("incarnation") or said["began"])
-    return found
+        entry = orjson.loads(base64.b64decode(row["value"]))
+        incarnations[row["name"].removeprefix(LIVE_MEMBERS)] = str(entry.get("incarnation") or entry["began"])
+    return incarnations
+
 
+def measure_rejoin(cluster: Cluster, names: list[str], without_disks: list[str]) -> float | None:
+    """Kill these dispatchers, remove the disks of some and start all again.
 
-def come_back(it: Cluster, names: list[str], lost: list[str]) -> float | None:
-    """Kill these, take some of their disks, start them again; ms until all are there, None: never."""
-    before = lives(it)
+    Returns the ms until all are live again; None if that takes over `REJOIN_LIMIT_SECONDS`.
+    """
+    before = live_incarnations(cluster)
     for name in names:
-        it.all[name].kill()
-    for name in lost:
-        shutil.rmtree(it.all[name].directory)
+        cluster.all[name].kill()
+    for name in without_disks:
+        shutil.rmtree(cluster.all[name].directory)
     begun = time.monotonic()
     for name in names:
-        it.all[name].start()
-    while time.monotonic() < begun + WITHIN:
+        cluster.all[name].start()
+    while time.monotonic() < begun + REJOIN_LIMIT_SECONDS:
         try:
-            now = lives(it)
-            if set(now) >= set(it.all) and all(now[n] != before[n] for n in names):
+            now = live_incarnations(cluster)
+            if set(now) >= set(cluster.all) and all(now[name] != before[name] for name in names):
                 return (time.monotonic() - begun) * 1000.0
         except StoreRequestError:
             pass
@@ -67,43 +73,43 @@
 @click.option("--seed", default=1, help="Which of them are killed.")
 @click.option("--tree", type=click.Path(exists=True, file_okay=False), help="Another checkout to measure.")
 def main(dispatchers: int, seed: int, tree: str | None) -> None:
-    """Measure how long dispatchers take to come back."""
+    """Measure how long dispatchers take to rejoin after a kill."""
     if tree is not None:
         vars(store_rig)["ROOT"] = Path(tree).resolve()
     rng = random.Random(seed)
-    took: dict[str, int] = {}
-    broken: list[str] = []
+    rejoin_ms: dict[str, int] = {}
+    violations: list[str] = []
     with tempfile.TemporaryDirectory() as folder:
-        it = Cluster(Path(folder), dispatchers)
+        cluster = Cluster(Path(folder), dispatchers)
         try:
-            it.start()
-            it.store_client(30.0).put("kept", b"acknowledged")
-            while set(lives(it)) < set(it.all):
+            cluster.start()
+            cluster.store_client(30.0).put("kept", b"acknowledged")
+            while set(live_incarnations(cluster)) < set(cluster.all):
                 time.sleep(0.1)
-            names, may_lose = sorted(it.all), (dispatchers - 1) // 2
-            for what, count, lose in (
+            names, tolerated_losses = sorted(cluster.all), (dispatchers - 1) // 2
+            for case, count, loses_disks in (
                 ("one", 1, False), ("70%", round(0.7 * dispatchers), False),
                 ("all but one", dispatchers - 1, False), ("all", dispatchers, False),
-                ("without disks", may_lose, True),
+                ("without disks", tolerated_losses, True),
             ):  # fmt: skip
-                some = rng.sample(names, count)
-                ms = come_back(it, some, some if lose else [])
+                killed = rng.sample(names, count)
+                ms = measure_rejoin(cluster, killed, killed if loses_disks else [])
                 shown = f"{ms:.0f} ms" if ms is not None else "never"
-                print(f"{what:14} {count:3} of {dispatchers}: {shown}", flush=True)
+                print(f"{case:14} {count:3} of {dispatchers}: {shown}", flush=True)
                 if ms is None:
-                    broken.append(f"{what}: not all came back within {WITHIN:g} s")
+                    violations.append(f"{case}: not all came back within {REJOIN_LIMIT_SECONDS:g} s")
                     break
-                took[what] = round(ms)
-            if it.store_client(30.0).get("kept")[0] != b"acknowledged":
-                broken.append("a document that was acknowledged is gone")
+                rejoin_ms[case] = round(ms)
+            if cluster.store_client(30.0).get("kept")[0] != b"acknowledged":
+                violations.append("an acknowledged document is lost")
         finally:
-            it.stop()
-    floor = took.get("one", 0)
+            cluster.stop()
+    floor = rejoin_ms.get("one", 0)
     print(json.dumps({
-        "dispatchers": dispatchers, "seed": seed, "ms": took, "broken": broken,
-        "over_floor": {what: round(ms / floor, 2) for what, ms in took.items()} if floor else {},
+        "dispatchers": dispatchers, "seed": seed, "ms": rejoin_ms, "broken": violations,
+        "over_floor": {case: round(ms / floor, 2) for case, ms in rejoin_ms.items()} if floor else {},
     }))  # fmt: skip
-    sys.exit(bool(broken))
+    sys.exit(bool(violations))
 
 
 if __name__ == "__main__":
