--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -1,4 +1,4 @@
-"""The linters, and the limits that the module keeps."""
+"""Linters, type checks and size limits of the source."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-DOCUMENTED = (
+DOCUMENTED_PATHS = (
     "eiderpin/decide.py",
     "eiderpin/explain.py",
     "eiderpin/policy",
@@ -19,35 +19,39 @@
     "benchmarks/scale",
     "benchmarks/soak",
 )
-# Statements of eiderpin/decide.py, docstrings set aside. The file only shrinks: this is lowered with it and
-# never raised.
+# Statements of eiderpin/decide.py without docstrings. The file may only shrink: the limit is lowered with it
+# and never raised.
 DECIDE_STATEMENTS_MAX = 970
 
 
-def run(*command: str) -> None:
+def run_module(*command: str) -> None:
+    """Run `python -m` with these arguments; its exit code must be 0."""
     done = subprocess.run([sys.executable, "-m", *command], cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 0, done.stdout + done.stderr
 
 
-def test_ruff() -> None:
-    run("ruff", "check", "--no-cache", ".")
+def test_ruff_finds_nothing() -> None:
+    """A fault that the linter knows must not be merged."""
+    run_module("ruff", "check", "--no-cache", ".")
 
 
 def test_the_formatter_would_change_nothing() -> None:
-    run("ruff", "format", "--check", "--no-cache", ".")
+    """Unformatted code makes the next formatted change larger than it is."""
+    run_module("ruff", "format", "--check", "--no-cache", ".")
 
 
-def test_public_items_say_what_they_are() -> None:
-    """Where work has been done since this is asked for; further packages are added as they are touched."""
-    run("ruff", "check", "--no-cache", "--select", "D1", *DOCUMENTED)
+def test_public_items_have_docstrings() -> None:
+    """Undocumented items must not be added. Further packages are listed as their docstrings are completed."""
+    run_module("ruff", "check", "--no-cache", "--select", "D1", *DOCUMENTED_PATHS)
 
 
-def test_mypy() -> None:
-    run("mypy", "--cache-dir", "/dev/null")
+def test_mypy_finds_nothing() -> None:
+    """A type error must not be merged."""
+    run_module("mypy", "--cache-dir", "/dev/null")
 
 
 def count_statements(source: str) -> int:
-    """Counts a module's statements at every depth. Docstrings, comments and line breaks don't count."""
+    """Return the number of a module's statements at every depth, without docstrings."""
     nodes = list(ast.walk(ast.parse(source)))
     documentable = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
     docstrings = sum(
@@ -56,8 +60,8 @@
     return sum(isinstance(node, ast.stmt) for node in nodes) - docstrings
 
 
-def test_decisions_stay_in_modules_that_can_be_read() -> None:
-    """Further decisions go to modules of their own, listed as `policy`, not into the first."""
+def test_modules_of_the_decisions_keep_their_size_limits() -> None:
+    """New decisions go to modules of their own, listed as `policy`, so that none grows too large to read."""
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         policy = tomllib.load(file)["policy"]
     assert "eiderpin/decide.py" in policy
@@ -71,7 +75,8 @@
         assert max(map(len, lines)) <= 110, name
 
 
-def test_the_core_holds_without_assertions_too() -> None:
+def test_the_core_passes_its_tests_without_assertions() -> None:
+    """The program runs with -O, which drops assertions: none may have an effect that is needed."""
     done = subprocess.run(
         [sys.executable, "-O", "-m", "unittest", "tests.test_core"], cwd=ROOT, capture_output=True, text=True
     )
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's library example runs as it stands."""
+"""The library example in README.md runs without changes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from eiderpin import explain
 
 
-def test_the_library_example(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_library_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+    """A change of the library interface must not leave an example that fails or prints other fields."""
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (example,) = re.findall(r"```python\n(.*?)```", text, re.S)
     scope: dict[str, Any] = {}
     exec(example, scope)
-    shown = capsys.readouterr().out
+    printed = capsys.readouterr().out
     assert scope["sent"].worker in ("w0", "w1", "w2")
-    assert "'height'" in shown
-    assert "'may_refuse': True" in shown
+    assert "'height'" in printed
+    assert "'may_refuse': True" in printed
     assert explain.request(scope["dispatcher"], 1) == {"open": False}
     assert explain.worker(scope["dispatcher"], "nobody") == {"known": False}
