--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -97,7 +97,7 @@
                 shown = f"{ms:.0f} ms" if ms is not None else "never"
                 print(f"{case:14} {count:3} of {dispatchers}: {shown}", flush=True)
                 if ms is None:
-                    violations.append(f"{case}: not all came back within {REJOIN_LIMIT_SECONDS:g} s")
+                    violations.append(f"{case}: not all are live again after {REJOIN_LIMIT_SECONDS:g} s")
                     break
                 rejoin_ms[case] = round(ms)
             if cluster.store_client(30.0).get("kept")[0] != b"acknowledged":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -7,7 +7,7 @@
 that favours some dispatchers several times over others and is slow to notice a dead one. The faults:
 
 - `kill`: 70% of the dispatchers are killed at once and started again cold
-- `zone`: half of the workers are cut off for 5 s, reported gone late, and come back cold
+- `zone`: half of the workers are cut off for 5 s, listed as gone late, and then restarted, cold
 - `bad`: one worker in eight fails nearly half its jobs, for every dispatcher
 - `cold`: all workers and dispatchers start together, the workers cold
 
@@ -37,7 +37,7 @@
 from typing import Any
 
 from benchmarks.fleet_world import TOLERANCE_SECONDS, Discovery, Rules, Worker, clock
-from benchmarks.rig import CONNECTION_ERRORS, ROOT, Idle, free_port, http_request_on
+from benchmarks.rig import CONNECTION_ERRORS, ROOT, IdleConnections, free_port, http_request_on
 
 CLASSES = {  # name: (share of requests, aim ms, deadline ms, mean work s, repeat)
     "time-lookup": (0.6, 250.0, 7500.0, 0.12, "free"),
@@ -114,7 +114,7 @@
 class ClientRequest:
     """A client's request and its answer; times in seconds."""
 
-    rid: str
+    request_id: str
     cls: str
     work: float
     sent_at: float
@@ -140,7 +140,7 @@
     samples: list[list[tuple[int, int]]] = field(
         default_factory=list
     )  # per second and worker: connections, probes
-    idle: dict[int, Idle] = field(default_factory=dict)
+    idle: dict[int, IdleConnections] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     events: list[str] = field(default_factory=list)
     began: float = 0.0
@@ -240,10 +240,10 @@
         for attempt in range(2):
             now = clock()
             target = self.choose_dispatcher(avoid)
-            rid = f"d{target}-{number:x}{attempt}{self.rng.getrandbits(24):06x}"
-            request = ClientRequest(rid, cls, work, now, now + deadline / 1000, dispatcher=target)
+            request_id = f"d{target}-{number:x}{attempt}{self.rng.getrandbits(24):06x}"
+            request = ClientRequest(request_id, cls, work, now, now + deadline / 1000, dispatcher=target)
             self.requests.append(request)
-            headers = {"Req-Id": rid, "Req-Deadline-Ms": str(int(deadline))}
+            headers = {"Req-Id": request_id, "Req-Deadline-Ms": str(int(deadline))}
             try:
                 request.status, request.body = await self.call(
                     target, "POST", f"/{cls}", headers, body, deadline / 1000 + 2.0
@@ -266,8 +266,10 @@
     async def call(
         self, target: int, method: str, path: str, headers: dict[str, str], body: bytes, within: float
     ) -> tuple[int, bytes]:
-        """Send one request to a dispatcher; return status and body. Raises what a broken connection raises,
-        and `TimeoutError` after `within` seconds."""
+        """Send one request to a dispatcher; return status and body.
+
+        Raises `CONNECTION_ERRORS`, and `TimeoutError` after `within` seconds.
+        """
         pool = self.idle.setdefault(target, [])
         reader, writer = pool.pop() if pool else await asyncio.wait_for(
             asyncio.open_connection("127.0.0.1", self.dispatchers[target].port), 1.0
@@ -351,28 +353,30 @@
                 if not request.lost_to_kill:
                     how = "its connection broke" if request.status else "none came by its deadline"
                     self.violations.append(
-                        f"{request.rid}: no answer, {how}, {request.sent_at - self.began:.2f} s in"
+                        f"{request.request_id}: no answer, {how}, {request.sent_at - self.began:.2f} s in"
                     )
                 continue
             if request.sent_at + request.elapsed > request.deadline + TOLERANCE_SECONDS * 2:
                 self.violations.append(
-                    f"{request.rid}: answered after {request.elapsed:.3f} s, past its deadline"
+                    f"{request.request_id}: answered after {request.elapsed:.3f} s, past its deadline"
                 )
             if request.status == 200:
                 if request.body.decode("latin-1") not in results:
                     self.violations.append(
-                        f"{request.rid}: 200 with {request.body[:40]!r}, which no worker made"
+                        f"{request.request_id}: 200 with {request.body[:40]!r}, which no worker made"
                     )
                 in_time = request.elapsed <= aim / 1000 + WORK_STRETCH * request.work
                 tally["in_time" if in_time else "late"] += 1
             elif request.status in (429, 503):
                 tally["refused"] += 1
-                if repeat == "single_shot" and ran[request.rid]:
-                    self.violations.append(f"{request.rid}: refused, though it ran")
+                if repeat == "single_shot" and ran[request.request_id]:
+                    self.violations.append(f"{request.request_id}: refused, though it ran")
             else:
                 tally["failed"] += 1
-            if repeat == "single_shot" and ran[request.rid] > 1:
-                self.violations.append(f"{request.rid}: a result-post that ran {ran[request.rid]} times")
+            if repeat == "single_shot" and ran[request.request_id] > 1:
+                self.violations.append(
+                    f"{request.request_id}: a result-post that ran {ran[request.request_id]} times"
+                )
         seconds = max(1.0, clock() - self.began)
         rates = self.per_second()
         for worker in self.workers:
@@ -380,8 +384,8 @@
                 self.violations.append(
                     f"{worker.name} fell over: {worker.costs.max_cold_load:.1f} times capacity"
                 )
-            for rid in worker.costs.late_sends:
-                self.violations.append(f"{rid}: sent to {worker.name} past the drain's grace")
+            for request_id in worker.costs.late_sends:
+                self.violations.append(f"{request_id}: sent to {worker.name} past the drain's grace")
         served = {c: (t["in_time"] + t["late"]) / max(1, t["asked"] - t["lost_to_kills"])
                   for c, t in by_class.items()}  # fmt: skip
         return {
@@ -400,8 +404,7 @@
         }  # fmt: skip
 
     def per_second(self) -> dict[str, Any]:
-        """Return new connections and probes a second at a worker: the mean over workers and seconds, and the
-        most at one worker in one second."""
+        """Return a worker's new connections and probes per second: their mean, and the most in any second."""
         if len(self.samples) < 2:
             return {}
         steps = [[(now[0] - before[0], now[1] - before[1]) for before, now in zip(old, new, strict=True)]
--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -50,7 +50,7 @@
 class Job:
     """A job that a worker holds. Times are Unix time in seconds."""
 
-    rid: str
+    request_id: str
     cls: str
     work: float  # s at full speed
     need: int
@@ -103,7 +103,7 @@
         self.costs = Costs()
         self.ran: Counter[str] = Counter()  # runs begun, by request id
         self.results: set[str] = set()  # that it returned
-        self.idle: dict[int, rig.Idle] = {}  # connections for call-backs, by port
+        self.idle: dict[int, rig.IdleConnections] = {}  # connections for call-backs, by port
         self.tasks: set[asyncio.Task[None]] = set()
 
     def restart(self, now: float) -> None:
@@ -170,30 +170,30 @@
         if method == "DELETE":
             self.drop(target.rsplit("/", 1)[-1])
             return response(204, reason="No Content")
-        rid = headers.get("req-id", "")
-        if not rid:
+        request_id = headers.get("req-id", "")
+        if not request_id:
             return response(404, reason="Not Found")
         if (
             self.leaving_at is not None
             and received_at > self.leaving_at + self.rules.drain_grace + TOLERANCE_SECONDS
         ):
-            self.costs.late_sends.append(rid)
+            self.costs.late_sends.append(request_id)
         fields: dict[str, Any] = json.loads(body or b"{}")
         cls = target.strip("/").split("?")[0]
-        job = Job(rid, cls, float(fields.get("work", 0.1)), int(fields.get("need", 1)), now)
+        job = Job(request_id, cls, float(fields.get("work", 0.1)), int(fields.get("need", 1)), now)
         self.costs.jobs += 1
         self.queue.append(job)
         self.check_load(now)
         self.start_what_fits(now)
         return response(202, reason="Accepted")
 
-    def drop(self, rid: str) -> None:
+    def drop(self, request_id: str) -> None:
         """Cancel a job. If it runs, it goes on, but its end is not reported."""
         for job in self.queue:
-            if job.rid == rid:
+            if job.request_id == request_id:
                 self.queue.remove(job)
                 return
-        running = self.running.get(rid)
+        running = self.running.get(request_id)
         if running is not None:
             running.cancelled = True
 
@@ -203,8 +203,8 @@
             job = self.queue.popleft()
             job.started_at = now
             self.used_slots += job.need
-            self.running[job.rid] = job
-            self.ran[job.rid] += 1
+            self.running[job.request_id] = job
+            self.ran[job.request_id] += 1
             self.spawn(self.run(job))
 
     def spawn(self, coroutine: Any) -> None:
@@ -216,29 +216,29 @@
     async def run(self, job: Job) -> None:
         """Run a job and report its start and end."""
         born = self.born
-        self.spawn(self.send_callback(job.rid, {"state": "started"}))
+        self.spawn(self.send_callback(job.request_id, {"state": "started"}))
         fails = self.rng.random() < self.failing_share
         run_seconds = 0.005 if fails else job.work * self.slowdown / self.warmth(clock())
         await asyncio.sleep(run_seconds)
-        if self.born != born or self.running.pop(job.rid, None) is None:
+        if self.born != born or self.running.pop(job.request_id, None) is None:
             return  # it has restarted, and the job is lost
         self.used_slots -= job.need
         if not job.cancelled:
-            result = f"{self.name} ran {job.rid}"
+            result = f"{self.name} ran {job.request_id}"
             if not fails:
                 self.results.add(result)
             callback = {"state": "failed"} if fails else {"state": "done", "result": result}
-            self.spawn(self.send_callback(job.rid, callback))
+            self.spawn(self.send_callback(job.request_id, callback))
         now = clock()
         self.start_what_fits(now)
         self.check_load(now)
 
-    async def send_callback(self, rid: str, state: dict[str, Any]) -> None:
+    async def send_callback(self, request_id: str, state: dict[str, Any]) -> None:
         """Send a call-back to the dispatcher of a request; tried at most ten times."""
-        callback_port = self.callback_ports.get(int(rid.split("-", 1)[0][1:]))
+        callback_port = self.callback_ports.get(int(request_id.split("-", 1)[0][1:]))
         if callback_port is None:
             return
-        callback = {"id": rid, "from": self.name, **state}
+        callback = {"id": request_id, "from": self.name, **state}
         await rig.send_callback(
             callback_port,
             self.idle.setdefault(callback_port, []),
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).parent.parent
 CONNECTION_ERRORS = (OSError, EOFError, asyncio.IncompleteReadError)
-Idle = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]  # open connections to one address
+IdleConnections = list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]  # open connections to one address
 
 
 PORTS_PER_BLOCK = 100  # a process reserves ports in blocks of this size
@@ -59,7 +59,7 @@
             continue
         _lock_fds.append(fd)
         return list(range(start, start + PORTS_PER_BLOCK))
-    raise OSError("every block of ports is taken")
+    raise OSError("all blocks of ports are in use")
 
 
 def settings(deadline: float = 30_000.0) -> dict[str, Any]:
@@ -162,7 +162,7 @@
 
 async def send_callback(
     callback_port: int,
-    idle: Idle,
+    idle: IdleConnections,
     callback: dict[str, Any],
     delays: tuple[float, ...],
     is_silent: Callable[[], bool],
@@ -237,7 +237,7 @@
         super().__init__()
         self.name, self.log, self.callback_port, self.rng, self.run = name, log, callback_port, rng, run
         self.tasks: set[asyncio.Task[None]] = set()
-        self.idle: Idle = []  # connections for call-backs
+        self.idle: IdleConnections = []  # connections for call-backs
 
     async def stop(self) -> None:
         """Close all and wait for it: asyncio complains of a task that is cancelled at the end."""
--- a/benchmarks/site_world.py
+++ b/benchmarks/site_world.py
@@ -41,7 +41,7 @@
     slots: int = 4
     queue_limit: int = 8  # of each worker
     warm_by_requests: bool = False  # whether work too, not only time, warms a worker
-    home_share: float = 0.5  # of the traffic: what comes to the first zone
+    home_share: float = 0.5  # of the traffic that comes to the first zone
     flooding_tenant: str | None = None  # sends five times its share in the middle third
     has_outage: bool = False  # a fifth of the workers are silent in the second quarter, and come back cold
     length: float = 8000.0  # of the day
@@ -118,12 +118,12 @@
         self.scheduled_count += 1
         heapq.heappush(self.heap, (when, self.scheduled_count, call))
 
-    def notify(self, i: int, event: api.Event) -> None:
-        """Put an event into the next batch of dispatcher `i`."""
-        self.inbox[i].append(event)
-        if i not in self.scheduled_batches:
-            self.scheduled_batches.add(i)
-            self.schedule(self.now + TICK_MS, lambda: self.run_batch(i))
+    def notify(self, dispatcher: int, event: api.Event) -> None:
+        """Put an event into the next batch of a dispatcher."""
+        self.inbox[dispatcher].append(event)
+        if dispatcher not in self.scheduled_batches:
+            self.scheduled_batches.add(dispatcher)
+            self.schedule(self.now + TICK_MS, lambda: self.run_batch(dispatcher))
 
     def play(self) -> float:
         """Play the day; return its score: served over offered worth, less the price of zone crossings."""
@@ -157,9 +157,9 @@
             number += 1
             in_first = rng.random() < self.site.home_share
             candidates = [i for i, z in enumerate(self.zone_of) if (z == self.site.zones[0]) is in_first]
-            i = rng.choice(candidates or range(settings.instances))
+            dispatcher = rng.choice(candidates or range(settings.instances))
             tenant = rng.choices(tenants, [tenant.share for tenant in tenants])[0].name if tenants else None
-            self.schedule(now, lambda n=number, i=i, t=tenant: self.submit(n, i, t))  # type: ignore[misc]
+            self.schedule(now, lambda n=number, i=dispatcher, t=tenant: self.submit(n, i, t))  # type: ignore[misc]
             if (
                 self.site.flooding_tenant
                 and middle[0] <= now < middle[1]
@@ -167,20 +167,20 @@
             ):
                 for _ in range(4):
                     number += 1
-                    self.schedule(now, lambda n=number, i=i, t=tenant: self.submit(n, i, t))  # type: ignore[misc]
+                    self.schedule(now, lambda n=number, i=dispatcher, t=tenant: self.submit(n, i, t))  # type: ignore[misc]
 
-    def submit(self, number: int, i: int, tenant: str | None) -> None:
-        """Submit a request to dispatcher `i`."""
+    def submit(self, number: int, dispatcher: int, tenant: str | None) -> None:
+        """Submit a request to a dispatcher."""
         cls = self.classes[self.rng.choice(list(self.classes))]
         work = self.site.mean_work[cls.name] * self.rng.lognormvariate(0.0, 0.4)
         value = cls.worth * (work if self.site.settings.worth_by_work else 1.0) * self.take_allowance(tenant)
         job = self.jobs[number] = {
-            "dispatcher": i, "cls": cls, "work": work, "arrived_at": self.now, "answered": None,
+            "dispatcher": dispatcher, "cls": cls, "work": work, "arrived_at": self.now, "answered": None,
             "attempts": [], "value": value,
         }  # fmt: skip
         self.offered_worth += job["value"]
         hint = work * self.rng.uniform(0.7, 1.4)
-        self.notify(i, api.Request(number, cls.name, cls.deadline, 1.0, 0.5, tenant, None, hint))
+        self.notify(dispatcher, api.Request(number, cls.name, cls.deadline, 1.0, 0.5, tenant, None, hint))
         grace = self.site.settings.answer_grace + 2 * TICK_MS
         self.schedule(self.now + cls.deadline + grace, lambda: self.check_answered(number))
 
@@ -208,25 +208,25 @@
 
     # -- dispatchers
 
-    def run_batch(self, i: int) -> None:
-        """Pass dispatcher `i` its events and carry out its actions."""
-        self.scheduled_batches.discard(i)
-        events, self.inbox[i] = self.inbox[i], []
-        for action in self.policies[i].handle(self.now, events):
+    def run_batch(self, dispatcher: int) -> None:
+        """Pass a dispatcher its events and carry out its actions."""
+        self.scheduled_batches.discard(dispatcher)
+        events, self.inbox[dispatcher] = self.inbox[dispatcher], []
+        for action in self.policies[dispatcher].handle(self.now, events):
             if isinstance(action, api.Send):
-                self.send(i, action)
+                self.send(dispatcher, action)
             elif isinstance(action, api.SetTimer):
                 timer = api.TimerFired(action.handle)
-                self.schedule(max(action.at, self.now), lambda e=timer: self.notify(i, e))  # type: ignore[misc]
+                self.schedule(max(action.at, self.now), lambda e=timer: self.notify(dispatcher, e))  # type: ignore[misc]
             elif isinstance(action, api.Refuse | api.Fail):
                 self.refuse(action)
             elif isinstance(action, api.Cancel):
-                self.end_attempt((i, action.request, action.attempt), api.Outcome.CANCELLED)
+                self.end_attempt((dispatcher, action.request, action.attempt), api.Outcome.CANCELLED)
             elif isinstance(action, api.Probe):
-                self.probe(i, self.by_name[action.worker])
+                self.probe(dispatcher, self.by_name[action.worker])
 
     def refuse(self, action: api.Refuse | api.Fail) -> None:
-        """Answer a request without a result. `Refuse` promises that it has not run."""
+        """Answer a request without a result; `Refuse` says that it has not run."""
         job = self.jobs[action.request]
         may_have_run = job["cls"].repeat is not api.Repeat.FREE and any(
             not a["never_ran"] for a in job["attempts"]
@@ -235,24 +235,24 @@
             self.violations.append(f"request {action.request} may have run and was refused as harmless")
         job["answered"] = job["answered"] or "no"
 
-    def send(self, i: int, action: api.Send) -> None:
+    def send(self, dispatcher: int, action: api.Send) -> None:
         """Send a request to a worker, and check the rules on repeats and on workers that are gone."""
         job, worker = self.jobs[action.request], self.by_name[action.worker]
         cls, number = job["cls"], len(job["attempts"])
-        may_have_run = [a for a in job["attempts"] if not a["never_ran"]]
+        possibly_run = [a for a in job["attempts"] if not a["never_ran"]]
         if job["answered"]:
             self.violations.append(f"request {action.request} was sent after its answer")
-        if may_have_run and cls.repeat is api.Repeat.SINGLE_SHOT:
+        if possibly_run and cls.repeat is api.Repeat.SINGLE_SHOT:
             self.violations.append(f"request {action.request} may run twice")
-        if may_have_run and cls.repeat is api.Repeat.GUARDED:
-            first = may_have_run[0]
+        if possibly_run and cls.repeat is api.Repeat.GUARDED:
+            first = possibly_run[0]
             if first["worker"].zone != worker.zone or self.now > first["sent_at"] + cls.memory_span:
                 self.violations.append(f"request {action.request} was repeated out of its zone or window")
         if self.now > self.listed_gone_at.get(worker.name, self.now) + self.site.settings.drain_grace:
             self.violations.append(f"{worker.name} was sent work after it was listed as gone")
-        self.zone_crossings += worker.zone != self.zone_of[i]
+        self.zone_crossings += worker.zone != self.zone_of[dispatcher]
         job["attempts"].append({"worker": worker, "sent_at": self.now, "never_ran": False, "ended": False})
-        key = (i, action.request, number)
+        key = (dispatcher, action.request, number)
         self.schedule(self.now + ONE_WAY_MS, lambda: self.receive(key, worker))
         left = max(0.0, job["arrived_at"] + cls.deadline - self.now)
         self.schedule(self.now + left, lambda: self.end_attempt(key, api.Outcome.TIMED_OUT))
@@ -262,7 +262,7 @@
 
         `key`: dispatcher, request and attempt.
         """
-        i, number, attempt = key
+        dispatcher, number, attempt = key
         job = self.jobs[number]
         record = job["attempts"][attempt]
         if record["ended"]:
@@ -275,7 +275,7 @@
             self.served_worth += job["value"] * (cls.late_worth if is_late else 1.0)
         final = job["answered"] is not None
         name, elapsed = record["worker"].name, self.now - record["sent_at"]
-        self.notify(i, api.AttemptEnded(number, attempt, name, outcome, elapsed, final))
+        self.notify(dispatcher, api.AttemptEnded(number, attempt, name, outcome, elapsed, final))
 
     # -- workers
 
@@ -309,9 +309,9 @@
             worker.running[key] = slots
             run_ms, born = work / worker.speed / worker.warmth(self.now), worker.born
             if self.site.settings.tells_start:
-                i, number, attempt = key
+                dispatcher, number, attempt = key
                 started = api.Progress(number, attempt, worker.name, True)
-                self.schedule(self.now + ONE_WAY_MS, lambda i=i, e=started: self.notify(i, e))  # type: ignore[misc]
+                self.schedule(self.now + ONE_WAY_MS, lambda i=dispatcher, e=started: self.notify(i, e))  # type: ignore[misc]
             self.schedule(self.now + run_ms, lambda k=key, c=work, b=born: self.finish(worker, k, c, b))  # type: ignore[misc]
 
     def finish(self, worker: Worker, key: tuple[int, int, int], work: float, born: float) -> None:
@@ -323,8 +323,8 @@
         self.schedule(self.now + ONE_WAY_MS, lambda: self.end_attempt(key, api.Outcome.DONE))
         self.start_queued(worker)
 
-    def probe(self, i: int, worker: Worker) -> None:
-        """Answer a probe of dispatcher `i` with a report that is up to one period old."""
+    def probe(self, dispatcher: int, worker: Worker) -> None:
+        """Answer a dispatcher's probe with a report that is up to one period old."""
         age = self.rng.uniform(0.0, REPORT_PERIOD_MS)
         free = (self.site.slots - worker.used_slots()) * self.rng.uniform(0.8, 1.2)
         report = api.Report(queued=float(len(worker.queue)), free_slots=max(0.0, free))
@@ -335,7 +335,7 @@
         )
         self.schedule(
             self.now + (1000.0 if worker.silent else 2 * ONE_WAY_MS + 0.2 * age),
-            lambda: self.notify(i, ended),
+            lambda: self.notify(dispatcher, ended),
         )
 
     def silence(self, worker: Worker) -> None:
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -83,12 +83,12 @@
             try:
                 try:
                     value, document = store.get("counter")
-                    current, revision = int(value), int(document["revision"])
+                    counter, revision = int(value), int(document["revision"])
                 except StoreRequestError as error:
                     if error.kind != "absent":
                         raise
-                    current, revision = 0, 0
-                store.put("counter", b"%d" % (current + 1), revision)
+                    counter, revision = 0, 0
+                store.put("counter", b"%d" % (counter + 1), revision)
                 self.raised[number] += 1
             except StoreRequestError as error:
                 if error.kind == "differs":
@@ -183,7 +183,7 @@
         for name, (count, revision) in sorted(self.acknowledged.items()):
             value, document = store.get(name)
             if int(value) < count or document["revision"] < revision:
-                report(f"{name}: {count} at {revision} was acknowledged, {value!r} is there")
+                report(f"{name}: {count} at {revision} was acknowledged, {value!r} is stored")
         counter = int(store.get("counter")[0])
         least, most = sum(self.raised), sum(self.raised) + self.unknown
         if not least <= counter <= most:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -193,15 +193,15 @@
         self.port = int(self.server.server_address[1])
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
-    def serve(self, rid: str, handler: Any) -> None:
+    def serve(self, request_id: str, handler: Any) -> None:
         """Accept a job with a 202 and report its success at once."""
-        self.ran[rid] += 1
+        self.ran[request_id] += 1
         handler.say(202)
-        self.send_callback(rid, "done", result=f"{self.name} ran {rid}")
+        self.send_callback(request_id, "done", result=f"{self.name} ran {request_id}")
 
-    def send_callback(self, rid: str, state: str, **more: Any) -> int:
+    def send_callback(self, request_id: str, state: str, **more: Any) -> int:
         """Report the state of a request; return the HTTP status of the answer."""
-        body = json.dumps({"id": rid, "from": self.name, "state": state, **more}).encode()
+        body = json.dumps({"id": request_id, "from": self.name, "state": state, **more}).encode()
         return http_call(self.callback_address, "POST", "/_jobs/news", body)[0]
 
     def stop(self) -> None:
