--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -248,6 +248,7 @@
             await asyncio.sleep(0.01)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection of a dispatcher."""
         self.open.add(writer)
         with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
