--- a/eiderpin/store/__init__.py
+++ b/eiderpin/store/__init__.py
@@ -1,6 +1,6 @@
-"""A small replicated store: Raft as a pure machine, the documents that it keeps, and what carries both.
+"""A small replicated store of documents, based on Raft.
 
-`messages`, `log`, `raft` are the consensus (no clock, no disk, no wire); `state` is what it keeps; `records`
-is what a member writes to `eiderpin.durable`; `member` puts these together; `transport` carries messages on
-the program's loop. The design is `docs/design/store.md`.
+`messages`, `log`, `progress` and `raft` implement consensus without I/O. `state` is the replicated state
+machine, and `records` is what a member writes to `eiderpin.durable`. `member` combines these, and `transport`
+carries messages on the event loop. The design is described in `docs/design/store.md`.
 """
--- a/eiderpin/store/anchor.py
+++ b/eiderpin/store/anchor.py
@@ -1,4 +1,4 @@
-"""The identity of a directory, as far as the file system has a say in it."""
+"""A file whose inode distinguishes a directory from any copy of it."""
 
 from __future__ import annotations
 
@@ -6,32 +6,35 @@
 import secrets
 from contextlib import suppress
 
-NAME = "anchor"
+FILE_NAME = "anchor"
 
 
 class Anchor:
-    """A file that a copy of the directory can't have alike: its number and the time of its last change are
-    the file system's own, and no program sets both. Each method raises `OSError` as the system does."""
+    """The anchor file of a directory.
+
+    Its inode number and change time are assigned by the file system and cannot both be set by a program, so a
+    copy of the directory has different ones. Methods raise `OSError` when a system call fails.
+    """
 
     def __init__(self, folder: str) -> None:
-        """The anchor of this directory; it is made when it is first read."""
-        self.path = os.path.join(folder, NAME)
+        """Use the anchor in `folder`; the file is created when it is first read."""
+        self.path = os.path.join(folder, FILE_NAME)
 
-    def new_disk(self) -> str:
-        """An identity for a disk that has none yet."""
+    def new_disk_id(self) -> str:
+        """Return a random id for a disk that has none yet."""
         return secrets.token_hex(8)
 
-    def make(self) -> str:
-        """A new one, in place of what may be there."""
+    def recreate(self) -> str:
+        """Replace the file, and return the new fingerprint."""
         with suppress(FileNotFoundError):
             os.unlink(self.path)
         os.close(os.open(self.path, os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o400))
-        return self.read()
+        return self.fingerprint()
 
-    def read(self) -> str:
-        """What tells the directory's own file from any copy of it."""
+    def fingerprint(self) -> str:
+        """Return the inode number and change time of the file; create it if it is missing."""
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except FileNotFoundError:
-            return self.make()
-        return f"{found.st_ino}:{found.st_ctime_ns}"
+            return self.recreate()
+        return f"{status.st_ino}:{status.st_ctime_ns}"
--- a/eiderpin/store/backup.py
+++ b/eiderpin/store/backup.py
@@ -1,5 +1,7 @@
-"""Snapshots in files, and new clusters that begin with one, or with what a lost cluster's member has left.
-Old members have no say in a new cluster: it is of a later generation, and the transport refuses them."""
+"""Snapshot files, and new clusters that are restored from one or from a surviving member's directory.
+
+A restored cluster has a later generation, by which the transport rejects members of the old cluster.
+"""
 
 from __future__ import annotations
 
@@ -18,82 +20,105 @@
 from eiderpin.parts.store import NAME, address
 from eiderpin.store.anchor import Anchor
 from eiderpin.store.messages import Config, EntryKind, HardState, Snapshot
-from eiderpin.store.records import MemberIdentity, Restored, whole
+from eiderpin.store.records import MemberIdentity, RestoredState, checkpoint_records
 from eiderpin.store.state import Store, unpack
 
 MAGIC = b"EIDERSNP"
 FORMAT = 1
-_HEAD = struct.Struct("<8sHHQI")  # magic, format, generation, bytes when unpacked, crc of what follows
+_HEADER = struct.Struct("<8sHHQI")  # magic, format, generation, uncompressed bytes, CRC32C of what follows
 
 
 def save(path: str, image: bytes, generation: int = 1) -> None:
-    """Raises `OSError`; the file is whole or as it was."""
+    """Write a snapshot file; on failure the file is left as it was. Raises `OSError`."""
     packed = zstandard.ZstdCompressor(level=3).compress(image)
-    replace_file(path, _HEAD.pack(MAGIC, FORMAT, generation, len(image), crc32c(packed)) + packed)
+    replace_file(path, _HEADER.pack(MAGIC, FORMAT, generation, len(image), crc32c(packed)) + packed)
 
 
 def load(path: str) -> tuple[bytes, int]:
-    """The image, and the generation of the cluster that it is of. `path` may be a member's directory. Raises
-    `OSError` and `ValueError`."""
+    """Read a snapshot file or a member's directory.
+
+    Returns:
+        The state, and the generation of its cluster.
+
+    Raises:
+        OSError: A file cannot be read.
+        ValueError: It is not a snapshot, or it is damaged or of a later format.
+    """
     if os.path.isdir(path):
-        return left_by(path)
+        return read_member_directory(path)
     with open(path, "rb") as file:
         data = file.read()
-    if len(data) < _HEAD.size or data[:8] != MAGIC:
-        raise ValueError(f"{path}: it is no snapshot of a store")
-    _, form, generation, size, crc = _HEAD.unpack_from(data)
-    if form > FORMAT:
-        raise ValueError(f"{path}: its format is {form}; this version of eiderpin reads up to {FORMAT}")
-    packed = data[_HEAD.size :]
+    if len(data) < _HEADER.size or data[:8] != MAGIC:
+        raise ValueError(f"{path}: it is not a snapshot of a store")
+    _, format_version, generation, size, crc = _HEADER.unpack_from(data)
+    if format_version > FORMAT:
+        raise ValueError(
+            f"{path}: its format is {format_version}; this version of eiderpin reads up to {FORMAT}"
+        )
+    packed = data[_HEADER.size :]
     if crc != crc32c(packed):
         raise ValueError(f"{path}: it is damaged or cut off")
     image = zstandard.ZstdDecompressor().decompress(packed, max_output_size=size)
     try:
         Store.of(image)
     except msgspec.MsgspecError as error:
-        raise ValueError(f"{path}: it makes no sense: {error}") from None
+        raise ValueError(f"{path}: its content is not valid: {error}") from None
     return image, max(1, generation)
 
 
-def left_by(folder: str) -> tuple[bytes, int]:
-    """What a member that has ended holds: all of its log, for nobody can say any more what of it was
-    committed. Raises `OSError` and `ValueError`."""
-    found = Restored()
+def read_member_directory(folder: str) -> tuple[bytes, int]:
+    """Return the state and generation that a stopped member's directory holds.
+
+    All entries of the log are applied, since without the other members it is unknown which were committed.
+    Raises `OSError` and `ValueError`.
+    """
+    restored = RestoredState()
     try:
-        Log(Files(folder), found.apply).close()
-        snapshot = found.snapshot
+        Log(Files(folder), restored.apply).close()
+        snapshot = restored.snapshot
     except (Locked, Damaged, BadFormat) as error:
         raise ValueError(f"{folder}: {error}") from None
-    if found.born is None:
-        raise ValueError(f"{folder}: it is no member's directory")
-    plain = zstandard.ZstdDecompressor().decompress(snapshot.data) if snapshot.data else b""
-    store = Store.of(plain)
-    for entry in found.entries:
+    if restored.identity is None:
+        raise ValueError(f"{folder}: it is not a member's directory")
+    image = zstandard.ZstdDecompressor().decompress(snapshot.data) if snapshot.data else b""
+    store = Store.of(image)
+    for entry in restored.entries:
         if entry.kind == EntryKind.COMMAND:
             store.apply(unpack(entry.data))
-    return store.image(), found.born.generation
+    return store.image(), restored.identity.generation
 
 
 def restore(path: str, folder: str, name: str, cluster: str, members: dict[str, str]) -> None:
-    """Make `folder` that of member `name` of a new cluster, of the next generation. Raises `OSError` and
-    `ValueError`."""
+    """Create the directory of member `name` of a new cluster of the next generation.
+
+    Args:
+        path: A snapshot file, or a member's directory.
+        folder: The directory to create; it must be empty or absent.
+        name: The member.
+        cluster: The name of the new cluster.
+        members: The names and addresses of all its members.
+
+    Raises:
+        OSError: A file cannot be read or written.
+        ValueError: An argument is not valid, or the snapshot is not.
+    """
     image, generation = load(path)
-    for what in (name, cluster):
-        if not NAME.fullmatch(what):
-            raise ValueError(f"{what!r}: up to 64 letters, digits and ._- are expected")
+    for value in (name, cluster):
+        if not NAME.fullmatch(value):
+            raise ValueError(f"{value!r}: up to 64 letters, digits and ._- are expected")
     if name not in members:
         raise ValueError(f"{name} is not among the members {', '.join(members)}")
-    for other, where in members.items():
+    for other, other_address in members.items():
         if len(members) > 1:
-            address(where, other)
+            address(other_address, other)
     if os.path.isdir(folder) and os.listdir(folder):
         raise ValueError(f"{folder}: it is not empty")
-    found = Restored()
-    log = Log(Files(folder), found.apply)
+    restored = RestoredState()
+    log = Log(Files(folder), restored.apply)
     snapshot = Snapshot(1, 1, Config(members), zstandard.ZstdCompressor(level=3).compress(image))
     anchor = Anchor(folder)
-    born = MemberIdentity(cluster, name, anchor.new_disk(), anchor.read(), generation + 1)
-    log.checkpoint(list(whole(born, HardState(1, ""), snapshot, ())))
+    identity = MemberIdentity(cluster, name, anchor.new_disk_id(), anchor.fingerprint(), generation + 1)
+    log.checkpoint(list(checkpoint_records(identity, HardState(1, ""), snapshot, ())))
     log.close()
     if log.failed is not None:
         raise log.failed
--- a/eiderpin/store/framing.py
+++ b/eiderpin/store/framing.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-MOST_FRAME = 2 << 20  # bytes
+MAX_FRAME_BYTES = 2 << 20
 _LENGTH = struct.Struct(">I")
 
 
@@ -24,13 +24,13 @@
 
     Args:
         magic: The bytes that the stream has to begin with; empty for none.
-        most_frame: The largest body that is accepted, in bytes.
+        max_frame_bytes: The largest body that is accepted, in bytes.
     """
 
-    def __init__(self, magic: bytes, most_frame: int = MOST_FRAME) -> None:
-        """Begin with nothing received."""
+    def __init__(self, magic: bytes, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        """Start with an empty buffer."""
         self.magic = magic
-        self.most_frame = most_frame
+        self.max_frame_bytes = max_frame_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -41,20 +41,20 @@
         """
         self.buffer += data
         if self.magic:
-            have = bytes(self.buffer[: len(self.magic)])
-            if have != self.magic[: len(have)]:
-                raise ValueError(f"it begins with {have!r}, not with {self.magic!r}")
-            if len(have) < len(self.magic):
+            received = bytes(self.buffer[: len(self.magic)])
+            if received != self.magic[: len(received)]:
+                raise ValueError(f"it begins with {received!r}, not with {self.magic!r}")
+            if len(received) < len(self.magic):
                 return []
             del self.buffer[: len(self.magic)]
             self.magic = b""
-        found = []
+        bodies = []
         while len(self.buffer) >= _LENGTH.size:
             (size,) = _LENGTH.unpack_from(self.buffer)
-            if size > self.most_frame:
-                raise ValueError(f"a frame of {size} bytes; up to {self.most_frame} are taken")
+            if size > self.max_frame_bytes:
+                raise ValueError(f"a frame of {size} bytes; up to {self.max_frame_bytes} are taken")
             if len(self.buffer) < _LENGTH.size + size:
                 break
-            found.append(bytes(self.buffer[_LENGTH.size : _LENGTH.size + size]))
+            bodies.append(bytes(self.buffer[_LENGTH.size : _LENGTH.size + size]))
             del self.buffer[: _LENGTH.size + size]
-        return found
+        return bodies
--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -1,4 +1,4 @@
-"""A member in a running dispatcher: its log on disk, its transport and its ticks on the loop."""
+"""Runs a store member in a dispatcher: its log on disk, its transport, and its ticks on the event loop."""
 
 from __future__ import annotations
 
@@ -21,219 +21,238 @@
 from eiderpin.store.member import TICK_MS, Member
 from eiderpin.store.messages import Config, Message
 from eiderpin.store.raft import Role
-from eiderpin.store.records import MemberIdentity, Restored, whole
+from eiderpin.store.records import MemberIdentity, RestoredState, checkpoint_records
 from eiderpin.store.transport import Transport
 
 if TYPE_CHECKING:
     from eiderpin.store.observer_server import ObserverServer
 
 UNREADABLE = (Locked, BadFormat, Damaged, OSError)
-TRY_AGAIN = 500.0  # ms between looks whether a failed disk has come back
-CUT_OFF = 3000.0  # ms without a leader after which a member says that it is cut off
+DISK_RETRY_MS = 500.0  # between two attempts to write to a disk that has failed
+CUT_OFF_MS = 3000.0  # without a leader, after which a member counts as cut off
 
 
 class LogDisk:
-    """Implements `member.Disk` on `eiderpin.durable`."""
+    """Implements `member.Disk` with a log of `eiderpin.durable`."""
 
     def __init__(self, log: Log) -> None:
-        """Write to this log."""
+        """Write to `log`."""
         self.log = log
 
-    def append(self, said: list[Record], told: Callable[[bool], None]) -> None:
+    def append(self, new_records: list[Record], on_done: Callable[[bool], None]) -> None:
         """See `member.Disk`."""
         try:
-            for record in said[:-1]:
+            for record in new_records[:-1]:
                 self.log.append(record.kind, record.version, record.body)
-            last = said[-1]
-            self.log.append(last.kind, last.version, last.body, told)
+            last = new_records[-1]
+            self.log.append(last.kind, last.version, last.body, on_done)
         except NotWritable:
-            told(False)
+            on_done(False)
 
-    def checkpoint(self, all_of_it: Iterable[Record]) -> None:
+    def checkpoint(self, all_records: Iterable[Record]) -> None:
         """See `member.Disk`."""
-        # Packed here and now: what it is made from goes on changing.
-        self.log.checkpoint(list(all_of_it))
+        # Encoded at once, because the state that the records are made from keeps changing.
+        self.log.checkpoint(list(all_records))
 
 
 class StoreHost:
-    """Raises one of `UNREADABLE` where its directory cannot be had, and `ValueError` where it is
-    another's."""
+    """The store member of this dispatcher."""
 
     def __init__(
         self, loop: Loop, counters: Counters, options: Options, rng: random.Random,
         say: Callable[[str], None], warn: Callable[[str], None],
     ) -> None:  # fmt: skip
-        """Read the directory, listen, and begin as its member."""
+        """Read the member's directory, listen for other members, and start the member.
+
+        Args:
+            loop: The event loop.
+            counters: Counts failures.
+            options: The settings of the store.
+            rng: Draws timeouts and ids.
+            say: Logs an event.
+            warn: Logs a warning.
+
+        Raises:
+            Locked, BadFormat, Damaged, OSError: The directory cannot be used (`UNREADABLE`).
+            ValueError: The directory belongs to another member.
+        """
         self.loop, self.counters, self.options, self.say, self.warn = loop, counters, options, say, warn
-        restored = Restored()
+        restored = RestoredState()
         self.log = Log(Files(options.folder), restored.apply)
         try:
             anchor = Anchor(options.folder)
-            born = restored.born or MemberIdentity(
-                options.cluster, options.name, anchor.new_disk(), anchor.read()
+            own = restored.identity or MemberIdentity(
+                options.cluster, options.name, anchor.new_disk_id(), anchor.fingerprint()
             )
-            if (born.cluster, born.name) != (options.cluster, options.name):
+            if (own.cluster, own.name) != (options.cluster, options.name):
                 raise ValueError(
-                    f"store.directory {options.folder}: it is that of member {born.name} of cluster "
-                    f"{born.cluster}, and not of {options.name} of {options.cluster}"
+                    f"store.directory {options.folder}: it is that of member {own.name} of cluster "
+                    f"{own.cluster}, and not of {options.name} of {options.cluster}"
                 )
-            written = restored.born
-            new, alone = written is None, len(options.members) < 2 and not options.join
-            if new and alone:
-                mine = f"{options.listen[0]}:{options.listen[1]}" if options.listen is not None else ""
-                voters = options.members or {options.name: mine}
-                restored = Member.first(born, voters, {options.name: born.disk})
-            elif new:
-                restored = Restored(born)
-            elif not born.disk:  # written before disks had identities
-                born = replace(born, disk=anchor.new_disk(), anchor=anchor.read())
-            elif identity.copied(born, anchor.read()) and self.alone(restored):
-                born = replace(born, anchor=anchor.read())  # it has promised nobody anything
-            elif identity.copied(born, anchor.read()):
-                born = replace(born, disk=anchor.new_disk(), anchor=anchor.make())
+            stored_identity = restored.identity
+            is_new, is_single = stored_identity is None, len(options.members) < 2 and not options.join
+            if is_new and is_single:
+                own_address = f"{options.listen[0]}:{options.listen[1]}" if options.listen is not None else ""
+                voters = options.members or {options.name: own_address}
+                restored = Member.initial_state(own, voters, {options.name: own.disk})
+            elif is_new:
+                restored = RestoredState(own)
+            elif not own.disk:  # written before disks had ids
+                own = replace(own, disk=anchor.new_disk_id(), anchor=anchor.fingerprint())
+            elif identity.is_copy(own, anchor.fingerprint()) and self.is_only_voter(restored):
+                # The only voter has acknowledged nothing to other members, so it keeps its disk id.
+                own = replace(own, anchor=anchor.fingerprint())
+            elif identity.is_copy(own, anchor.fingerprint()):
+                own = replace(own, disk=anchor.new_disk_id(), anchor=anchor.recreate())
                 warn(
-                    f"store.directory {options.folder}: it is a copy of member {born.name}'s, perhaps an old "
-                    "one: it has no vote until a leader has taken it in again"
+                    f"store.directory {options.folder}: it is a copy of member {own.name}'s, perhaps an old "
+                    "one: it has no vote until a leader has readmitted it"
                 )
-            if born != written:
-                restored.born = born
-                rows = whole(born, restored.hard, restored.snapshot, restored.entries)
-                self.log.checkpoint(list(rows))
+            if own != stored_identity:
+                restored.identity = own
+                checkpoint = checkpoint_records(own, restored.hard, restored.snapshot, restored.entries)
+                self.log.checkpoint(list(checkpoint))
                 self.log.push()
-            self.founding: identity.Founding | None = None
-            if not restored.entries and not restored.head.index and not options.join:
-                self.founding = identity.Founding(born.name, born.disk, options.members)
+            self.cluster_bootstrap: identity.ClusterBootstrap | None = None
+            if not restored.entries and not restored.snapshot_head.index and not options.join:
+                self.cluster_bootstrap = identity.ClusterBootstrap(own.name, own.disk, options.members)
             self.transport: Transport | None = None
             if options.listen is not None:
                 self.transport = Transport(
-                    loop, counters, options.cluster, options.name, options.listen, self.hear, rng, warn,
-                    born.disk, born.generation,
+                    loop, counters, options.cluster, options.name, options.listen, self.receive, rng, warn,
+                    own.disk, own.generation,
                 )  # fmt: skip
         except BaseException:
             self.log.close()
             raise
-        self.member = Member(born, restored, LogDisk(self.log), self.send, rng, loop.clock.now())
-        self.member.on_config = self.met
-        self.begun_at, self.told_missing = loop.clock.now(), False
-        self.replaced = False  # another disk has our name, the others say
-        self.observers: ObserverServer | None = None  # where observers are served here
+        self.member = Member(own, restored, LogDisk(self.log), self.send, rng, loop.clock.now())
+        self.member.on_config = self.update_addresses
+        self.started_at, self.missing_reported = loop.clock.now(), False
+        self.replaced = False  # other members know another disk by our name
+        self.observers: ObserverServer | None = None  # if this member serves observers
         if self.transport is not None:
             self.transport.has_log = lambda: self.member.raft.log.last > 0
-            self.transport.adopt, self.transport.is_retired = self.adopt, self.is_retired
-            self.transport.on_replaced = self.note_replaced
-            if self.founding is not None:
-                self.transport.met_disk = self.founding.hear
-        self.met(self.member.raft.log.config)
-        self.led_by, self.removed = "", False
-        loop.selector.register(self.log, READ, lambda mask: self.settle())
+            self.transport.adopt_generation, self.transport.is_retired = (
+                self.adopt_generation,
+                self.is_retired,
+            )
+            self.transport.on_replaced = self.mark_replaced
+            if self.cluster_bootstrap is not None:
+                self.transport.on_peer_hello = self.cluster_bootstrap.record_member
+        self.update_addresses(self.member.raft.log.config)
+        self.reported_leader, self.removal_reported = "", False
+        loop.selector.register(self.log, READ, lambda mask: self.handle_log_events())
         self.tick()
 
     @staticmethod
-    def alone(restored: Restored) -> bool:
-        """Whether a directory is that of the only voter there is."""
+    def is_only_voter(restored: RestoredState) -> bool:
+        """Return whether a directory belongs to the only voter of its cluster."""
         return len(EntryLog(restored.snapshot, restored.entries).config.voters) == 1
 
     def send(self, message: Message) -> None:
-        """Give a message to the transport; it may be lost."""
+        """Send a message to another member; it may be lost."""
         if self.transport is not None:
             self.transport.send(message)
 
-    def hear(self, message: Message) -> None:
-        """A message has come."""
-        self.member.hear(message, self.loop.clock.now())
+    def receive(self, message: Message) -> None:
+        """Handle a message from another member."""
+        self.member.receive(message, self.loop.clock.now())
 
-    def met(self, config: Config) -> None:
-        """Learn the members' addresses; those that our own file names help until the log is here."""
+    def update_addresses(self, config: Config) -> None:
+        """Update the members' addresses; without a configuration, those in the settings are used as well."""
         if self.transport is not None:
-            self.transport.members({**self.options.members, **config.all()} if not config.voters
-                                   else config.all())  # fmt: skip
+            self.transport.set_addresses({**self.options.members, **config.all()} if not config.voters
+                                         else config.all())  # fmt: skip
 
     def is_retired(self, name: str, disk: str) -> bool:
-        """Whether another disk has taken the place of this one."""
+        """Return whether this disk of a member has been replaced by another."""
         config = self.member.raft.log.config
         return disk in config.retired and name in config.all()
 
-    def note_replaced(self) -> None:
-        """The others say that another disk has our name."""
+    def mark_replaced(self) -> None:
+        """Note that other members know another disk by our name."""
         self.replaced = True
 
-    def adopt(self, generation: int) -> None:
-        """With an empty log we come into whatever generation the cluster is in."""
+    def adopt_generation(self, generation: int) -> None:
+        """Join the cluster's generation, as a member with an empty log."""
         self.member.identity = replace(self.member.identity, generation=generation)
-        self.member.write_all()
+        self.member.write_checkpoint()
         if self.transport is not None:
             self.transport.generation = generation
 
-    def found(self, now: float) -> None:
-        """Begin a new cluster, once all of its first members have been met."""
-        founding = self.founding
-        if founding is None:
+    def try_bootstrap(self, now: float) -> None:
+        """Create a new cluster, once all of its initial members have been discovered."""
+        bootstrap = self.cluster_bootstrap
+        if bootstrap is None:
             return
         if self.member.raft.log.last:
-            self.founding = None  # somebody else did, and a leader has told us
+            self.cluster_bootstrap = None  # another member created it, and its leader has sent us the log
             return
-        config = founding.config()
+        config = bootstrap.initial_config()
         if config is not None:
             self.say(f"store: begins cluster {self.options.cluster} with {', '.join(sorted(config.voters))}")
-            self.member.found(config, now)
-        elif not self.told_missing and now > self.begun_at + CUT_OFF:
-            self.told_missing = True
-            if founding.there_is_one:
-                self.warn("store: nothing is here, and others have a log: waits for their leader")
+            self.member.bootstrap(config, now)
+        elif not self.missing_reported and now > self.started_at + CUT_OFF_MS:
+            self.missing_reported = True
+            if bootstrap.log_exists:
+                self.warn("store: this directory is empty, and others have a log: waits for their leader")
             else:
-                missing = ", ".join(founding.missing()) or min(founding.members)
-                self.warn(f"store: a cluster begins once all first members are there; waits for {missing}")
+                missing = ", ".join(bootstrap.missing_members()) or min(bootstrap.members)
+                self.warn(
+                    "store: the cluster is created once all initial members are connected; "
+                    f"waits for {missing}"
+                )
 
     def tick(self) -> None:
-        """Let time pass for the member, and do so again."""
+        """Advance the member, and schedule the next tick."""
         now = self.loop.clock.now()
-        self.found(now)
+        self.try_bootstrap(now)
         self.member.tick(now)
         self.loop.deadlines.set(now + TICK_MS, self.tick)
-        leader, removed = self.member.raft.leader, self.member.raft.removed
-        if removed and not self.removed:
-            self.warn("store: this member has been removed; it keeps what it knew, and takes no changes")
-        self.removed = removed
-        if leader != self.led_by:
-            self.led_by = leader
+        leader, is_removed = self.member.raft.leader, self.member.raft.is_removed
+        if is_removed and not self.removal_reported:
+            self.warn("store: this member has been removed; it keeps its data, and accepts no changes")
+        self.removal_reported = is_removed
+        if leader != self.reported_leader:
+            self.reported_leader = leader
             if leader:
                 self.say(f"store: {leader} leads in term {self.member.raft.term}")
 
-    def settle(self) -> None:
-        """Called by the loop when the log's flusher has something to tell."""
-        failed = self.log.failed
+    def handle_log_events(self) -> None:
+        """Handle completed and failed writes; called by the loop when the log's flusher reports any."""
+        earlier_failure = self.log.failed
         self.log.settle()
-        if failed is None and self.log.failed is not None:
+        if earlier_failure is None and self.log.failed is not None:
             self.counters.add("store.disk_failed")
             self.warn(f"the store's disk takes nothing; this member only reads: {self.log.failed}")
             self.member.handle_disk_failure()
-            self.look_again()
+            self.retry_disk()
         self.member.flush(self.loop.clock.now())
 
-    def look_again(self) -> None:
-        """See whether a disk that failed takes writes again."""
+    def retry_disk(self) -> None:
+        """Check whether a disk that has failed accepts writes again."""
         if self.log.came_back():
             self.say("the store's disk is back")
-            self.member.disk_is_back(self.loop.clock.now())
+            self.member.handle_disk_recovery(self.loop.clock.now())
             return
         self.log.try_again(self.member.all_records())
-        self.loop.deadlines.set(self.loop.clock.now() + TRY_AGAIN, self.look_again)
+        self.loop.deadlines.set(self.loop.clock.now() + DISK_RETRY_MS, self.retry_disk)
 
     def push(self) -> None:
-        """Write what has been appended since the last turn."""
+        """Start to write the records that were appended since the last turn of the loop."""
         self.log.push()
 
     @property
     def cut_off(self) -> bool:
-        """Whether no leader has been heard of for a while: changes fail here, and reads are old."""
-        return self.loop.clock.now() > self.member.last_leader_contact_ms + CUT_OFF
+        """Whether there has been no leader for a while, so that changes fail and reads may be stale."""
+        return self.loop.clock.now() > self.member.last_leader_contact_ms + CUT_OFF_MS
 
     def status(self) -> dict[str, object]:
-        """How the member stands, for operators."""
+        """Return the state of the member, for operators."""
         raft, store = self.member.raft, self.member.store
         peers = {
-            name: {"match": p.match, "mode": p.mode.value, "active": p.active}
-            for name, p in raft.peers.items()
+            name: {"match": peer.match, "mode": peer.mode.value, "active": peer.active}
+            for name, peer in raft.peers.items()
         }
         return {
             "name": raft.name, "cluster": self.options.cluster, "role": raft.role.value,
@@ -246,13 +265,14 @@
             "standbys": raft.log.config.standbys,
             "disk": raft.disk, "disks": raft.log.config.disks, "retired": raft.log.config.retired,
             "generation": self.member.identity.generation,
-            "waits_for": self.founding.missing() if self.founding is not None else [],
-            "peers": peers if raft.role is Role.LEADER else {}, "removed": raft.removed,
+            "waits_for":
+                self.cluster_bootstrap.missing_members() if self.cluster_bootstrap is not None else [],
+            "peers": peers if raft.role is Role.LEADER else {}, "removed": raft.is_removed,
             "observers": self.observers.status() if self.observers is not None else None,
         }  # fmt: skip
 
     def close(self) -> None:
-        """Give the directory up; a leader hands its place over as far as that goes without waiting."""
+        """Close the connections and the directory."""
         if self.observers is not None:
             self.observers.close()
         if self.transport is not None:
--- a/eiderpin/store/member.py
+++ b/eiderpin/store/member.py
@@ -1,5 +1,8 @@
-"""One member of the store: its Raft, its state, and the order in which disk, wire and clients hear of things.
-It reaches disk and peers through two small protocols; time is given to it."""
+"""One member of the replicated store: its Raft state, its documents, and the calls that wait for either.
+
+The member decides in which order things are written to disk, sent to other members and answered to clients.
+It reaches the disk through `Disk` and the other members through a callback; the caller passes in the time.
+"""
 
 from __future__ import annotations
 
@@ -26,293 +29,322 @@
     Message,
     Snapshot,
 )
-from eiderpin.store.raft import CHANGE_ROUND, NotLeader, Raft, Refused, Role
-from eiderpin.store.records import MemberIdentity, Restored
+from eiderpin.store.raft import MAX_LEARNER_LAG_ENTRIES, NotLeader, Raft, Refused, Role
+from eiderpin.store.records import MemberIdentity, RestoredState
 from eiderpin.store.state import Answer, Command, Compacted, Event, Expire, Operation, Store, pack, unpack
 
-TICK_MS = 50.0  # ms
-SNAPSHOT_EVERY = 10_000  # entries applied since the last snapshot ...
-SNAPSHOT_BYTES = 16 << 20  # ... or so many bytes of them, after which the next is made
-TRAILING = 1_000  # entries kept before a snapshot, for members that are a little behind
-MOST_WAITING = 10_000  # commands and reads that wait here
-MOST_WATCHERS = 1_000
-MARK_EVERY = 200.0  # ms between a leader's words on the store's time, while leases are out
-MOST_TICKS = 4  # caught up with at once: a process that stood still must not campaign for it
+TICK_MS = 50.0
+SNAPSHOT_EVERY = 10_000  # entries applied since the last snapshot, after which the next one is made
+SNAPSHOT_EVERY_BYTES = 16 << 20  # the same in bytes of entries; whichever limit is reached first
+TRAILING_ENTRIES = 1_000  # kept from before a snapshot, for members that are slightly behind
+MAX_PENDING_CALLS = 10_000  # of commands, and of reads, that wait at this member
+MAX_WATCHES = 1_000
+LEASE_CLOCK_INTERVAL_MS = 200.0  # at which a leader advances the store's clock while leases exist
+MAX_CATCH_UP_TICKS = 4  # made up for at once; a process that was suspended must not campaign because of it
 
 
 class Disk(Protocol):
-    """A log on disk. `told` is called later, in order, with whether it is there."""
+    """A log on disk."""
 
-    def append(self, said: list[Record], told: Callable[[bool], None]) -> None:
-        """Write these records, in order, and tell whether they are there."""
+    def append(self, new_records: list[Record], on_done: Callable[[bool], None]) -> None:
+        """Write records in order; `on_done` is called later, in order, with whether they are on disk."""
         ...
 
-    def checkpoint(self, all_of_it: Iterable[Record]) -> None:
-        """What stands for all that was appended so far; what is appended later comes after it."""
+    def checkpoint(self, all_records: Iterable[Record]) -> None:
+        """Replace everything that was appended so far by these records; later appends follow them."""
         ...
 
 
 class OutcomeUnknown(Exception):
-    """No answer is known: it may or may not have been carried out. Ask again, with the same number."""
+    """No answer is known, so the command may or may not have been carried out.
+
+    The client may retry it with the same number.
+    """
 
 
-Done = Callable[[Answer | Exception], None]
+OnAnswer = Callable[[Answer | Exception], None]
 
 
 @dataclass(slots=True)
 class Watch:
-    """Told of events with names that begin so, from revision `next` on; `tell` gets None where it has to
-    begin anew, for what it asks of has been forgotten."""
+    """A subscription to the events of documents whose names begin with `prefix`, from revision `next` on.
+
+    `notify` gets None if the watch has to start anew, because the events that it needs are compacted.
+    """
 
     prefix: str
     next: int
-    tell: Callable[[list[Event] | None], None]
+    notify: Callable[[list[Event] | None], None]
 
 
 @dataclass(slots=True)
 class _Batch:
-    after: list[Message]
-    on_disk: bool
-    last: tuple[int, int] | None = None  # index and term of the last entry in it
+    messages: list[Message]
+    is_persisted: bool
+    last_entry: tuple[int, int] | None = None  # index and term of the last entry in it
 
 
 @dataclass(slots=True)
-class _Read:
-    done: Callable[[Exception | None], None]
-    until: float
+class _PendingRead:
+    on_done: Callable[[Exception | None], None]
+    deadline_ms: float
     index: int | None = None
 
 
 @dataclass(slots=True)
-class _Order:
+class _PendingChange:
     what: str
     name: str
-    done: Callable[[Exception | None], None]
-    until: float
-    begun: bool = False  # the leader has said yes
+    on_done: Callable[[Exception | None], None]
+    deadline_ms: float
+    accepted: bool = False  # the leader has accepted it
 
 
 @dataclass(slots=True)
-class _Waiting:
-    done: Done
-    until: float
-    more: list[Done] = field(default_factory=list)
+class _PendingCommand:
+    on_done: OnAnswer
+    deadline_ms: float
+    duplicates: list[OnAnswer] = field(default_factory=list)
 
-    def tell(self, said: Answer | Exception) -> None:
-        for done in (self.done, *self.more):
-            done(said)
+    def complete(self, answer: Answer | Exception) -> None:
+        for on_done in (self.on_done, *self.duplicates):
+            on_done(answer)
 
 
 class Member:
-    """`send` gives a message to the wire, which may lose it. `now` is monotonic, in ms."""
+    """One member of the store. All times are monotonic, in ms."""
 
     def __init__(
-        self, born: MemberIdentity, restored: Restored, disk: Disk, send: Callable[[Message], None],
-        rng: random.Random, now: float, raft: type[Raft] = Raft, snapshot_every: int = SNAPSHOT_EVERY,
-        trailing: int = TRAILING, history: int = 10_000,
+        self, member_identity: MemberIdentity, restored: RestoredState, disk: Disk,
+        send: Callable[[Message], None], rng: random.Random, now: float, raft: type[Raft] = Raft,
+        snapshot_every: int = SNAPSHOT_EVERY, trailing: int = TRAILING_ENTRIES, history: int = 10_000,
     ) -> None:  # fmt: skip
-        """Begin from what the disk holds."""
-        self.identity, self.disk, self.send, self.rng = born, disk, send, rng
+        """Start with the state that was read from disk.
+
+        Args:
+            member_identity: Which member this is, and on which disk.
+            restored: The state on disk.
+            disk: Where the log is written.
+            send: Sends a message to another member; it may be lost.
+            rng: Draws election timeouts and command numbers.
+            now: The current time.
+            raft: The class of the Raft state; tests pass faulty ones.
+            snapshot_every: Entries between two snapshots.
+            trailing: Entries that are kept from before a snapshot.
+            history: Events that are kept for watches.
+        """
+        self.identity, self.disk, self.send, self.rng = member_identity, disk, send, rng
         self.snapshot_every, self.trailing, self.history = snapshot_every, trailing, history
         snapshot = restored.snapshot
-        self.raft = raft(born.name, restored.hard, snapshot, restored.entries, rng, born.disk)
-        self.store = Store.of(_plain(snapshot.data), history)
+        self.raft = raft(
+            member_identity.name, restored.hard, snapshot, restored.entries, rng, member_identity.disk
+        )
+        self.store = Store.of(_decompress(snapshot.data), history)
         self.applied = snapshot.index
-        self.disk_failed = False  # our disk takes nothing
-        self.bytes = 0  # applied since the last snapshot
+        self.disk_failed = False  # the disk does not accept writes
+        self.bytes_since_snapshot = 0  # of the entries that were applied
         self.watches: list[Watch] = []
         self.on_config: Callable[[Config], None] = lambda config: None
         self._config: Config | None = None
         self._batches: deque[_Batch] = deque()
-        self._commands: dict[tuple[str, int], _Waiting] = {}
-        self._reads: dict[int, _Read] = {}
-        self._orders: dict[int, _Order] = {}
-        self._ready: list[tuple[int, int]] = []
-        self._context = rng.getrandbits(40)
-        self._ticked, self._marked = now, now
-        self._leases_out = False
-        self.last_leader_contact_ms = now  # of a leader, last
+        self._pending_commands: dict[tuple[str, int], _PendingCommand] = {}
+        self._pending_reads: dict[int, _PendingRead] = {}
+        self._pending_changes: dict[int, _PendingChange] = {}
+        self._confirmed_reads: list[tuple[int, int]] = []
+        self._last_context = rng.getrandbits(40)
+        self._last_tick_ms, self._lease_clock_ms = now, now
+        self._had_leases = False
+        self.last_leader_contact_ms = now
         self._flushing = False
         self.flush(now)
 
-    # -- the start of a cluster
+    # -- creating a cluster
 
     @staticmethod
-    def first(born: MemberIdentity, voters: dict[str, str], disks: dict[str, str] | None = None) -> Restored:
-        """What every first member of a new cluster begins with."""
+    def initial_state(
+        member_identity: MemberIdentity, voters: dict[str, str], disks: dict[str, str] | None = None
+    ) -> RestoredState:
+        """Return the state that every initial member of a new cluster starts with."""
         config = Config(voters, {}, disks or {})
-        return Restored(born, HardState(), [Entry(1, 0, int(EntryKind.CONFIG), config.pack())])
+        return RestoredState(
+            member_identity, HardState(), [Entry(1, 0, int(EntryKind.CONFIG), config.pack())]
+        )
 
-    def found(self, config: Config, now: float) -> None:
-        """Begin a new cluster with these members, whose logs are as empty as ours."""
-        self.raft.found(config)
+    def bootstrap(self, config: Config, now: float) -> None:
+        """Create a new cluster with these members, all of which have empty logs."""
+        self.raft.bootstrap(config)
         self.flush(now)
 
     def all_records(self) -> list[Record]:
-        """All that we hold, as it is written."""
+        """Return the complete state of this member as records for the disk."""
         log = self.raft.log
         hard = HardState(self.raft.term, self.raft.vote)
         entries = [e for e in log.entries if e.index > log.snapshot.index]
-        return list(records.whole(self.identity, hard, log.snapshot, entries))
+        return list(records.checkpoint_records(self.identity, hard, log.snapshot, entries))
 
-    def write_all(self) -> None:
-        """Have the disk hold all that we hold."""
+    def write_checkpoint(self) -> None:
+        """Write the complete state to disk as a checkpoint."""
         self.disk.checkpoint(self.all_records())
 
     # -- time and messages
 
     def tick(self, now: float) -> None:
-        """To be called every `TICK_MS` or so."""
-        ticks = int((now - self._ticked) / TICK_MS)
-        self._ticked = now if ticks > MOST_TICKS else self._ticked + ticks * TICK_MS
+        """Advance the member to the current time; to be called about every `TICK_MS`."""
+        ticks = int((now - self._last_tick_ms) / TICK_MS)
+        self._last_tick_ms = now if ticks > MAX_CATCH_UP_TICKS else self._last_tick_ms + ticks * TICK_MS
         if not self.disk_failed:
-            for _ in range(min(ticks, MOST_TICKS)):
+            for _ in range(min(ticks, MAX_CATCH_UP_TICKS)):
                 self.raft.tick()
-            self._mark(now)
-            self._take_in()
-            self._promote()
+            self._advance_lease_clock(now)
+            self._admit_unknown_disks()
+            self._promote_learners()
         if self.raft.leader:
             self.last_leader_contact_ms = now
-        self._give_up(now)
+        self._expire_pending(now)
         self.flush(now)
 
-    def hear(self, message: Message, now: float) -> None:
-        """A message from another member has come."""
+    def receive(self, message: Message, now: float) -> None:
+        """Handle a message from another member."""
         if self.disk_failed:
-            return  # we could keep nothing of it
+            return  # nothing of it could be persisted
         if isinstance(message, MembershipRequest):
-            error = self._order(message.what, message.name, message.address)
+            error = self._execute_change(message.what, message.name, message.address)
             self.send(
                 MembershipResponse(self.identity.name, message.frm, self.raft.term, message.context, error)
             )
         elif isinstance(message, MembershipResponse):
-            order = self._orders.get(message.context)
-            if order is not None:
-                order.begun = True
-            if order is not None and message.error:
-                del self._orders[message.context]
-                order.done(Refused(message.error))
+            change = self._pending_changes.get(message.context)
+            if change is not None:
+                change.accepted = True
+            if change is not None and message.error:
+                del self._pending_changes[message.context]
+                change.on_done(Refused(message.error))
         else:
             self.raft.step(message)
         self.flush(now)
 
-    # -- who the members are
+    # -- membership
 
     def change_membership(
-        self, what: str, name: str, address: str, done: Callable[[Exception | None], None], now: float,
-        within: float,
+        self, what: str, name: str, address: str, on_done: Callable[[Exception | None], None], now: float,
+        timeout_ms: float,
     ) -> None:  # fmt: skip
-        """Change who the members are, at any member; `done` hears when it is so.
+        """Change the membership, or forward the change to the leader.
 
         Args:
-            what: `add` (a member, which is a learner until it has caught up, and then a voter), `add-standby`
-                (a learner that stays one), `promote` (a standby, to a voter), `remove`, or `transfer` (the
-                leader's place).
+            what: `add` (a learner that becomes a voter once it has caught up), `add-standby` (a learner that
+                stays one), `promote` (a standby to a voter), `remove`, or `transfer` (leadership).
+            name: The member.
+            address: Its address, where one is added.
+            on_done: Called with None when the change is in effect, or with the error.
+            now: The current time.
+            timeout_ms: After this, `on_done` is called with `OutcomeUnknown`.
         """
-        self._context += 1
-        self._orders[self._context] = _Order(what, name, done, now + within)
+        self._last_context += 1
+        self._pending_changes[self._last_context] = _PendingChange(what, name, on_done, now + timeout_ms)
         if self.raft.role is Role.LEADER:
-            error = self._order(what, name, address)
-            self._orders[self._context].begun = True
+            error = self._execute_change(what, name, address)
+            self._pending_changes[self._last_context].accepted = True
             if error:
-                del self._orders[self._context]
-                done(Refused(error))
+                del self._pending_changes[self._last_context]
+                on_done(Refused(error))
         elif self.raft.leader:
             to, term = self.raft.leader, self.raft.term
-            self.send(MembershipRequest(self.identity.name, to, term, self._context, what, name, address))
+            self.send(
+                MembershipRequest(self.identity.name, to, term, self._last_context, what, name, address)
+            )
         else:
-            del self._orders[self._context]
-            done(NotLeader(""))
+            del self._pending_changes[self._last_context]
+            on_done(NotLeader(""))
         self.flush(now)
 
-    def _order(self, what: str, name: str, address: str) -> str:
-        """Carry one out as the leader; returns why it can't be."""
+    def _execute_change(self, what: str, name: str, address: str) -> str:
+        """Carry out a membership change as the leader; return why it is refused, or an empty string."""
         config = self.raft.log.config
         try:
             if what == "transfer":
-                self.raft.transfer(name)
+                self.raft.transfer_leadership(name)
             elif what == "remove":
                 if name not in config.all():
                     return f"{name!r} is no member; there are {', '.join(sorted(config.all()))}"
                 voters = {n: a for n, a in config.voters.items() if n != name}
                 learners = {n: a for n, a in config.learners.items() if n != name}
-                self.raft.change(identity.members(config, voters, learners))
+                self.raft.change_config(identity.with_members(config, voters, learners))
             elif what == "promote":
                 if name not in config.standbys:
                     return f"{name!r} is no standby; there are {', '.join(config.standbys) or 'none'}"
-                left = [standby for standby in config.standbys if standby != name]
-                self.raft.change(replace(config, standbys=left))
+                remaining = [standby for standby in config.standbys if standby != name]
+                self.raft.change_config(replace(config, standbys=remaining))
             elif name in config.all():
                 return f"{name!r} is a member already, at {config.all()[name]}"
             elif address in config.all().values():
                 return f"{address} is the address of another member"
             else:
                 learners = {**config.learners, name: address}
-                changed = identity.members(config, config.voters, learners)
+                changed = identity.with_members(config, config.voters, learners)
                 if what == "add-standby":
                     changed = replace(changed, standbys=[*changed.standbys, name])
-                self.raft.change(changed)
+                self.raft.change_config(changed)
         except NotLeader as error:
             return str(error)
         except Refused as error:
             return str(error)
         return ""
 
-    def _promote(self) -> None:
-        """A learner that has caught up becomes a voter, unless it is a standby."""
+    def _promote_learners(self) -> None:
+        """Make a voter of a learner that has caught up, unless it is a standby."""
         config, raft = self.raft.log.config, self.raft
-        if raft.role is not Role.LEADER or not config.learners or raft.log.config_at > raft.commit:
+        if raft.role is not Role.LEADER or not config.learners or raft.log.config_index > raft.commit:
             return
         for name in sorted(config.learners.keys() - set(config.standbys)):
             peer = raft.peers[name]
-            if peer.match and peer.active and peer.match + CHANGE_ROUND >= raft.log.last:
+            if peer.match and peer.active and peer.match + MAX_LEARNER_LAG_ENTRIES >= raft.log.last:
                 learners = {n: a for n, a in config.learners.items() if n != name}
                 with contextlib.suppress(Refused):
                     voters = {**config.voters, name: config.learners[name]}
-                    raft.change(identity.members(config, voters, learners))
+                    raft.change_config(identity.with_members(config, voters, learners))
                 return
 
-    def _take_in(self) -> None:
-        """Learn the disks of members that nothing is known of, and take in again, as a learner, one that has
-        lost its own."""
+    def _admit_unknown_disks(self) -> None:
+        """Add the disks of members whose disk is not known, and readmit a member that lost its disk."""
         raft = self.raft
-        if raft.role is not Role.LEADER or not raft.strangers or raft.log.config_at > raft.commit:
+        if raft.role is not Role.LEADER or not raft.unknown_disks or raft.log.config_index > raft.commit:
             return
-        config = identity.taken_in(raft.log.config, raft.strangers, raft.heard, raft.ticks)
+        config = identity.admit_unknown_disk(raft.log.config, raft.unknown_disks, raft.last_heard, raft.ticks)
         if config is not None:
             with contextlib.suppress(Refused):
-                raft.change(config)
+                raft.change_config(config)
 
-    def _look_at_orders(self) -> None:
-        """Tell those whose orders are carried out."""
+    def _complete_changes(self) -> None:
+        """Complete the membership changes that are in effect."""
         raft = self.raft
         config = raft.log.config_as_of(max(raft.commit, raft.log.base))
-        for context, order in list(self._orders.items()):
-            gone = raft.removed and (order.what, order.name) == ("remove", raft.name)
-            if not order.begun and not gone:
-                continue  # what seems done may have been so before
-            if order.what == "transfer":
-                done = raft.leader == order.name and raft.role is not Role.CANDIDATE
-            elif order.what == "add-standby":
-                done = order.name in config.standbys
-            elif order.what == "remove":
-                done = order.name not in config.all()
+        for context, change in list(self._pending_changes.items()):
+            was_removed = raft.is_removed and (change.what, change.name) == ("remove", raft.name)
+            if not change.accepted and not was_removed:
+                continue  # the condition may have held before the request
+            if change.what == "transfer":
+                is_done = raft.leader == change.name and raft.role is not Role.CANDIDATE
+            elif change.what == "add-standby":
+                is_done = change.name in config.standbys
+            elif change.what == "remove":
+                is_done = change.name not in config.all()
             else:
-                done = order.name in config.voters
-            if done or gone:
-                del self._orders[context]
-                order.done(None)
-
-    def _mark(self, now: float) -> None:
-        """A leader says how much time has passed, while that matters to a lease."""
-        out = bool(self.store.leases)
-        if not out or not self._leases_out or self.raft.role is not Role.LEADER:
-            self._marked = now
-        elif now >= self._marked + MARK_EVERY:
-            passed, self._marked = now - self._marked, now
-            at = self.store.now + passed
+                is_done = change.name in config.voters
+            if is_done or was_removed:
+                del self._pending_changes[context]
+                change.on_done(None)
+
+    def _advance_lease_clock(self, now: float) -> None:
+        """As leader, advance the store's clock by the elapsed time while there are leases."""
+        has_leases = bool(self.store.leases)
+        if not has_leases or not self._had_leases or self.raft.role is not Role.LEADER:
+            self._lease_clock_ms = now
+        elif now >= self._lease_clock_ms + LEASE_CLOCK_INTERVAL_MS:
+            elapsed_ms, self._lease_clock_ms = now - self._lease_clock_ms, now
+            at = self.store.now + elapsed_ms
             self._propose(Command("", self.rng.getrandbits(53), Expire(at)))
-        self._leases_out = out and self.raft.role is Role.LEADER
+        self._had_leases = has_leases and self.raft.role is Role.LEADER
 
     def _propose(self, command: Command) -> bool:
         try:
@@ -323,219 +355,258 @@
 
     # -- clients
 
-    def submit(self, client: str, number: int, op: Operation, done: Done, now: float, within: float) -> None:
-        """Have a command committed; `done` gets its answer, or why there is none (`NotLeader`, `Refused`: it
-        was not taken; `OutcomeUnknown`: nobody knows)."""
+    def submit(
+        self, client: str, number: int, op: Operation, on_done: OnAnswer, now: float, timeout_ms: float
+    ) -> None:
+        """Submit a command of a client session; repeating one that is pending adds another callback.
+
+        Args:
+            client: The client session; empty if the command belongs to none.
+            number: The number of the command in the session.
+            op: What to do.
+            on_done: Called with the answer, with `NotLeader` or `Refused` if the command was not accepted, or
+                with `OutcomeUnknown`.
+            now: The current time.
+            timeout_ms: After this, `on_done` is called with `OutcomeUnknown`.
+        """
         key = (client, number)
-        known = self._commands.get(key)
-        if known is not None:
-            known.more.append(done)
+        pending = self._pending_commands.get(key)
+        if pending is not None:
+            pending.duplicates.append(on_done)
             return
         try:
-            self._may_take(len(self._commands))
+            self._check_accepting(len(self._pending_commands))
             self.raft.propose([pack(Command(client, number, op))])
         except (NotLeader, Refused) as error:
-            done(error)
+            on_done(error)
             return
-        self._commands[key] = _Waiting(done, now + within)
+        self._pending_commands[key] = _PendingCommand(on_done, now + timeout_ms)
         self.flush(now)
 
-    def _may_take(self, waiting: int) -> None:
-        """Raises `NotLeader` (another member may take it: one without a disk is no judge of the cluster) and
-        `Refused`."""
+    def _check_accepting(self, waiting: int) -> None:
+        """Check that this member accepts another call.
+
+        Raises:
+            NotLeader: Another member has to be asked, as this one has been removed or its disk fails.
+            Refused: Too many calls wait already.
+        """
         if self.disk_failed:
             raise NotLeader("", "the disk of this member fails")
-        if self.raft.removed:
+        if self.raft.is_removed:
             raise NotLeader("")
-        if waiting >= MOST_WAITING:
+        if waiting >= MAX_PENDING_CALLS:
             raise Refused(f"{waiting} calls wait already")
 
-    def read(self, done: Callable[[Exception | None], None], now: float, within: float) -> None:
-        """Call `done` once what is here covers all that was committed before this call (or with why not)."""
+    def read(self, on_done: Callable[[Exception | None], None], now: float, timeout_ms: float) -> None:
+        """Wait until the local state includes everything that was committed before this call.
+
+        `on_done` is then called with None, or with `NotLeader`, `Refused` or `OutcomeUnknown`.
+        """
         try:
-            self._may_take(len(self._reads))
-            self.raft.read(self._context + 1)  # it is answered at the flush, not before
+            self._check_accepting(len(self._pending_reads))
+            self.raft.read(self._last_context + 1)  # answered in `flush` at the earliest
         except (NotLeader, Refused) as error:
-            done(error)
+            on_done(error)
             return
-        self._context += 1
-        self._reads[self._context] = _Read(done, now + within)
+        self._last_context += 1
+        self._pending_reads[self._last_context] = _PendingRead(on_done, now + timeout_ms)
         self.flush(now)
 
-    def watch(self, prefix: str, after: int, tell: Callable[[list[Event] | None], None]) -> Watch:
-        """Tell of what changes after revision `after`: at once what has, then what will. A watch that is
-        taken up again at another member with the last revision it was told of neither misses nor repeats.
-        Raises `Compacted` and `Refused`."""
-        if len(self.watches) >= MOST_WATCHERS:
-            raise Refused(f"{MOST_WATCHERS} watch already")
-        watch = Watch(prefix, after + 1, tell)
+    def watch(self, prefix: str, after: int, notify: Callable[[list[Event] | None], None]) -> Watch:
+        """Notify of all events after revision `after`, past ones at once and later ones as they occur.
+
+        A client that continues at another member, from the last revision it was notified of, neither misses
+        an event nor gets one twice.
+
+        Raises:
+            Compacted: Some of these events are no longer kept.
+            Refused: There are too many watches.
+        """
+        if len(self.watches) >= MAX_WATCHES:
+            raise Refused(f"there are {MAX_WATCHES} watches already")
+        watch = Watch(prefix, after + 1, notify)
         if after + 1 < self.store.oldest:
             raise Compacted(self.store.oldest)
         self.watches.append(watch)
-        self._tell(watch)
+        self._notify(watch)
         return watch
 
     def unwatch(self, watch: Watch) -> None:
-        """Tell it nothing more."""
+        """End a watch."""
         if watch in self.watches:
             self.watches.remove(watch)
 
-    def _tell(self, watch: Watch) -> None:
+    def _notify(self, watch: Watch) -> None:
         if self.store.revision < watch.next:
             return
         try:
             events = self.store.since(watch.next, watch.prefix)
         except Compacted:
             self.unwatch(watch)
-            watch.tell(None)
+            watch.notify(None)
             return
         watch.next = self.store.revision + 1
         if events:
-            watch.tell(events)
-
-    def _give_up(self, now: float) -> None:
-        """On those who have waited for long enough."""
-        for key in [k for k, w in self._commands.items() if w.until <= now]:
-            self._commands.pop(key).tell(OutcomeUnknown("no word of it in time"))
-        for context in [c for c, o in self._orders.items() if o.until <= now]:
-            self._orders.pop(context).done(OutcomeUnknown("it has not come to be in time, but may yet"))
-        for context in [c for c, r in self._reads.items() if r.until <= now]:
-            self._reads.pop(context).done(OutcomeUnknown("no leader has confirmed the read in time"))
+            watch.notify(events)
+
+    def _expire_pending(self, now: float) -> None:
+        """Fail the calls that have waited until their deadline."""
+        for key in [k for k, p in self._pending_commands.items() if p.deadline_ms <= now]:
+            self._pending_commands.pop(key).complete(OutcomeUnknown("no word of it in time"))
+        for context in [c for c, p in self._pending_changes.items() if p.deadline_ms <= now]:
+            self._pending_changes.pop(context).on_done(
+                OutcomeUnknown("the change has not taken effect in time, but may do so later")
+            )
+        for context in [c for c, p in self._pending_reads.items() if p.deadline_ms <= now]:
+            self._pending_reads.pop(context).on_done(
+                OutcomeUnknown("no leader has confirmed the read in time")
+            )
 
-    # -- what Raft says is to be done
+    # -- carrying out the output of Raft
 
     def flush(self, now: float) -> None:
-        """To be called after whatever may have given Raft something to do."""
+        """Carry out the output of Raft; to be called after anything that may have produced some."""
         if self._flushing or self.disk_failed:
-            return  # a call-back's: what it brought is seen to by the loop below
+            return  # called from a callback: the outer call handles the new output
         self._flushing = True
         try:
-            self._flush()
+            self._process_output()
         finally:
             self._flushing = False
 
-    def _flush(self) -> None:
+    def _process_output(self) -> None:
         while not self.disk_failed:
-            out = self.raft.out()
-            if out.snapshot is not None:
-                self._install(out.snapshot)
-            if out.persists:
-                self._persist(out.snapshot, out.hard, out.entries, out.after)
-            elif out.after:
-                self._batches.append(_Batch(out.after, True))
-                self._release()
-            for message in out.now:
+            output = self.raft.take_output()
+            if output.snapshot is not None:
+                self._install_snapshot(output.snapshot)
+            if output.needs_persisting:
+                self._persist(
+                    output.snapshot, output.hard_state, output.entries, output.messages_after_persist
+                )
+            elif output.messages_after_persist:
+                self._batches.append(_Batch(output.messages_after_persist, True))
+                self._send_persisted_messages()
+            for message in output.messages:
                 self.send(message)
-            for entry in out.committed:
+            for entry in output.committed:
                 self._apply(entry)
-            self._ready += out.reads
+            self._confirmed_reads += output.reads
             self._serve_reads()
-            if out.committed or out.snapshot is not None:
+            if output.committed or output.snapshot is not None:
                 for watch in list(self.watches):
-                    self._tell(watch)
+                    self._notify(watch)
                 self._compact()
-            if self._orders:
-                self._look_at_orders()
+            if self._pending_changes:
+                self._complete_changes()
             if self.raft.log.config is not self._config:
                 self._config = self.raft.log.config
                 self.on_config(self._config)
-            if not (out.persists or out.after or out.now or out.committed or out.reads):
+            if not (
+                output.needs_persisting
+                or output.messages_after_persist
+                or output.messages
+                or output.committed
+                or output.reads
+            ):
                 return
 
     def _persist(
-        self, snapshot: Snapshot | None, hard: HardState | None, entries: list[Entry], after: list[Message]
+        self, snapshot: Snapshot | None, hard: HardState | None, entries: list[Entry], messages: list[Message]
     ) -> None:
         if snapshot is not None:
-            self.write_all()
-        said = [records.pack(hard)] if hard is not None else []
-        said += [records.pack(e) for e in entries]
-        if not said:
-            said = [records.pack(HardState(self.raft.term, self.raft.vote))]
-        last = (entries[-1].index, entries[-1].term) if entries else None
-        batch = _Batch(after, False, last)
+            self.write_checkpoint()
+        new_records = [records.encode_record(hard)] if hard is not None else []
+        new_records += [records.encode_record(e) for e in entries]
+        if not new_records:
+            new_records = [records.encode_record(HardState(self.raft.term, self.raft.vote))]
+        last_entry = (entries[-1].index, entries[-1].term) if entries else None
+        batch = _Batch(messages, False, last_entry)
         self._batches.append(batch)
-        self.disk.append(said, lambda ok: self._on_disk(batch, ok))
+        self.disk.append(new_records, lambda ok: self._handle_persisted(batch, ok))
 
-    def _on_disk(self, batch: _Batch, ok: bool) -> None:
+    def _handle_persisted(self, batch: _Batch, ok: bool) -> None:
         if not ok:
             self.handle_disk_failure()
             return
         if batch not in self._batches:
-            return  # of before a failure
-        batch.on_disk = True
-        if batch.last is not None:
-            self.raft.persisted(*batch.last)
-        self._release()
-
-    def _release(self) -> None:
-        while self._batches and self._batches[0].on_disk:
-            for message in self._batches.popleft().after:
+            return  # from before a disk failure
+        batch.is_persisted = True
+        if batch.last_entry is not None:
+            self.raft.record_persisted(*batch.last_entry)
+        self._send_persisted_messages()
+
+    def _send_persisted_messages(self) -> None:
+        while self._batches and self._batches[0].is_persisted:
+            for message in self._batches.popleft().messages:
                 self.send(message)
 
     def handle_disk_failure(self) -> None:
-        """What was not on disk has been told to nobody, and nothing more is until `disk_is_back`."""
+        """Stop taking part until `handle_disk_recovery`.
+
+        Messages that wait for the disk are dropped: nothing that is not on disk has been acknowledged.
+        """
         if not self.disk_failed:
             self.disk_failed = True
             self._batches.clear()
-            self.raft.give_up()
-            # What was to be persisted or sent goes; what is committed and on disk is applied all the same.
-            for entry in self.raft.out().committed:
+            self.raft.stop_leading()
+            # Pending output is dropped, but entries that are committed and on our disk are still applied.
+            for entry in self.raft.take_output().committed:
                 self._apply(entry)
 
-    def disk_is_back(self, now: float) -> None:
-        """All that we hold is on disk again."""
+    def handle_disk_recovery(self, now: float) -> None:
+        """Take part again: the complete state is on disk."""
         self.disk_failed, self.raft.may_lead = False, True
-        self._ticked = now
-        self.raft.persisted(self.raft.log.last, self.raft.log.last_term)
+        self._last_tick_ms = now
+        self.raft.record_persisted(self.raft.log.last, self.raft.log.last_term)
         self.flush(now)
 
-    def _install(self, snapshot: Snapshot) -> None:
-        """A leader's snapshot has replaced our log."""
-        self.store = Store.of(_plain(snapshot.data), self.history)
-        self.applied, self.bytes = snapshot.index, 0
-        for (client, number), waiting in list(self._commands.items()):
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the state by a snapshot from the leader, and answer the commands that it includes."""
+        self.store = Store.of(_decompress(snapshot.data), self.history)
+        self.applied, self.bytes_since_snapshot = snapshot.index, 0
+        for (client, number), waiting in list(self._pending_commands.items()):
             session = self.store.sessions.get(client)
             if client and session is not None and session.number == number:
-                del self._commands[client, number]
-                waiting.tell(session.answer)
+                del self._pending_commands[client, number]
+                waiting.complete(session.answer)
 
     def _apply(self, entry: Entry) -> None:
         self.applied = entry.index
-        self.bytes += len(entry.data)
+        self.bytes_since_snapshot += len(entry.data)
         if entry.kind != EntryKind.COMMAND:
             return
         try:
             command = unpack(entry.data)
         except msgspec.MsgspecError:
-            return  # alike on every member
+            return  # every member ignores it in the same way
         answer = self.store.apply(command)
-        waiting = self._commands.pop((command.client, command.number), None)
+        waiting = self._pending_commands.pop((command.client, command.number), None)
         if waiting is not None:
-            waiting.tell(answer)
+            waiting.complete(answer)
 
     def _serve_reads(self) -> None:
-        later = []
-        for context, index in self._ready:
+        unserved = []
+        for context, index in self._confirmed_reads:
             if index > self.applied:
-                later.append((context, index))
+                unserved.append((context, index))
                 continue
-            read = self._reads.pop(context, None)
+            read = self._pending_reads.pop(context, None)
             if read is not None:
-                read.done(None)
-        self._ready = later
+                read.on_done(None)
+        self._confirmed_reads = unserved
 
     def _compact(self) -> None:
-        done = self.applied - self.raft.log.snapshot.index
-        if done < self.snapshot_every and self.bytes < SNAPSHOT_BYTES:
+        entries_since_snapshot = self.applied - self.raft.log.snapshot.index
+        if entries_since_snapshot < self.snapshot_every and self.bytes_since_snapshot < SNAPSHOT_EVERY_BYTES:
             return
         term = self.raft.log.term(self.applied)
-        assert term is not None, "what was applied last is here"
-        self.bytes = 0
+        assert term is not None, "the last applied entry is in the log"
+        self.bytes_since_snapshot = 0
         config = self.raft.log.config_as_of(self.applied)
         data = zstandard.ZstdCompressor(level=3).compress(self.store.image())
         self.raft.compact(Snapshot(self.applied, term, config, data), self.trailing)
-        self.write_all()
+        self.write_checkpoint()
 
 
-def _plain(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     return zstandard.ZstdDecompressor().decompress(data) if data else b""
--- a/eiderpin/store/messages.py
+++ b/eiderpin/store/messages.py
@@ -1,5 +1,7 @@
-"""What members tell each other, and what the log is made of. Array-like records: fields are only ever added
-at the end, with a default."""
+"""The messages between members, and the records that the replicated log consists of.
+
+All are encoded as MessagePack arrays, so fields may only be added at the end and with a default.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +12,15 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log is for."""
+    """The purpose of a log entry."""
 
-    EMPTY = 0  # a leader's first of its term
+    EMPTY = 0  # the first entry of a leader in its term
     COMMAND = 1  # for the state machine
     CONFIG = 2  # a `Config`, packed
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One entry of the log."""
+    """One entry of the replicated log."""
 
     index: int
     term: int
@@ -27,11 +29,15 @@
 
 
 class Config(msgspec.Struct, array_like=True, frozen=True):
-    """Who the members are: names to addresses. Learners get the log and have no vote.
-
-    A member is its name on its disk: who speaks from another disk than `disks` names has none of what that
-    one promised, and counts for nothing. `retired` are disks that have been replaced, the newest last.
-    `standbys` are learners that stay learners until an operator promotes them.
+    """The members of the cluster.
+
+    Attributes:
+        voters: Names to addresses.
+        learners: Names to addresses. Learners receive the log and have no vote.
+        disks: Names to the ids of their disks. A process that answers under a member's name from another
+            disk does not have the votes and entries which that disk holds, so its responses are ignored.
+        retired: Ids of disks that have been replaced, the newest last.
+        standbys: Learners that stay learners until an operator promotes them.
     """
 
     voters: dict[str, str] = {}
@@ -41,23 +47,23 @@
     standbys: list[str] = []
 
     def all(self) -> dict[str, str]:
-        """Voters and learners: names to addresses."""
+        """Return voters and learners: names to addresses."""
         return {**self.voters, **self.learners}
 
     def pack(self) -> bytes:
-        """The configuration as an entry holds it."""
+        """Encode the configuration as the data of a log entry."""
         return msgspec.msgpack.encode(self)
 
 
 class HardState(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What must be on disk before anybody hears of it."""
+    """The state that must be on disk before any message that depends on it is sent."""
 
     term: int = 0
     vote: str = ""
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state after entry `index`, as its bytes; `config` as of then."""
+    """The encoded state after entry `index`, and the configuration at that point."""
 
     index: int = 0
     term: int = 0
@@ -72,8 +78,12 @@
 
 
 class VoteRequest(_Base, tag=1, frozen=True, array_like=True):
-    """Asks for a vote; `pre`: whether it would be given, before the term is raised (dissertation, 9.6).
-    `force`: a leader has told us to take over, so its being alive is no reason to refuse (4.2.3)."""
+    """A candidate requests a vote.
+
+    `pre` marks a pre-vote, which asks whether the vote would be granted before the term is raised
+    (dissertation, 9.6). `force` means that the leader itself initiated the election, so the vote is granted
+    although the leader is alive (4.2.3).
+    """
 
     last_index: int
     last_term: int
@@ -82,7 +92,7 @@
 
 
 class VoteResponse(_Base, tag=2, frozen=True, array_like=True):
-    """The answer to `VoteRequest`."""
+    """The response to `VoteRequest`."""
 
     granted: bool
     pre: bool = False
@@ -90,7 +100,7 @@
 
 
 class Append(_Base, tag=3, frozen=True, array_like=True):
-    """Entries after `prev`; the receiver has to hold `prev` with its term."""
+    """Entries after `prev`; the receiver must have the entry `prev` with the same term."""
 
     prev: int
     prev_term: int
@@ -99,8 +109,11 @@
 
 
 class AppendResponse(_Base, tag=4, frozen=True, array_like=True):
-    """`ok`: the log holds the leader's up to `index`. Else `index` is the refused `prev`, and `hint` the last
-    place that can match, with the term there."""
+    """The response to `Append`.
+
+    With `ok`, the log matches the leader's up to `index`. Otherwise `index` is the `prev` that did not match,
+    and `hint` is the last index that can match, with its term.
+    """
 
     ok: bool
     index: int
@@ -110,8 +123,11 @@
 
 
 class Heartbeat(_Base, tag=5, frozen=True, array_like=True):
-    """`round` counts the times that the leader has asked whether it still leads (6.4). `commit` is of what
-    the member on `disk` has; on another it says nothing."""
+    """A leader's heartbeat.
+
+    `round` numbers the heartbeats, so that a response confirms that the leader still led then (6.4). `commit`
+    only refers to the log on `disk`; a member on another disk ignores it.
+    """
 
     commit: int
     round: int
@@ -119,7 +135,7 @@
 
 
 class HeartbeatResponse(_Base, tag=6, frozen=True, array_like=True):
-    """The answer to `Heartbeat`."""
+    """The response to `Heartbeat`."""
 
     round: int
     disk: str = ""
@@ -137,7 +153,11 @@
 
 
 class SnapshotChunkResponse(_Base, tag=8, frozen=True, array_like=True):
-    """`offset`: how much of the snapshot of `index` is here; `total` of it, once it is installed."""
+    """The response to `SnapshotChunk`.
+
+    `offset` is how many bytes of the snapshot of `index` have been received; all of them, once it is
+    installed.
+    """
 
     index: int
     offset: int
@@ -145,39 +165,43 @@
 
 
 class TimeoutNow(_Base, tag=9, frozen=True, array_like=True):
-    """The leader hands its place over: campaign now."""
+    """The leader transfers leadership: the receiver starts an election at once (3.10)."""
 
 
 class Forward(_Base, tag=10, frozen=True, array_like=True):
-    """Proposals that came to a follower."""
+    """Proposals that a follower received and forwards to the leader."""
 
     data: list[bytes]
 
 
 class ReadIndexRequest(_Base, tag=11, frozen=True, array_like=True):
-    """A follower asks what a read has to cover."""
+    """A follower asks which index a read must wait for (6.4)."""
 
     context: int
 
 
 class ReadIndexResponse(_Base, tag=12, frozen=True, array_like=True):
-    """A read that `context` names may be served once `index` has been applied."""
+    """The read named by `context` may be served once `index` has been applied."""
 
     context: int
     index: int
 
 
 class NotAMember(_Base, tag=13, frozen=True, array_like=True):
-    """Whoever asked is no member any more, by the configuration of entry `index`; `disk`: only who is on
-    that one is meant."""
+    """The receiver is no longer a member, by the configuration of entry `index`.
+
+    If `disk` is set, this applies only to a receiver on that disk.
+    """
 
     index: int
     disk: str = ""
 
 
 class MembershipRequest(_Base, tag=14, frozen=True, array_like=True):
-    """An operator's word, passed on to the leader: `what` is `add`, `add-standby`, `promote`,
-    `remove` or `transfer`."""
+    """A membership change that an operator requested, forwarded to the leader.
+
+    `what` is `add`, `add-standby`, `promote`, `remove` or `transfer` (of leadership).
+    """
 
     context: int
     what: str
@@ -186,7 +210,7 @@
 
 
 class MembershipResponse(_Base, tag=15, frozen=True, array_like=True):
-    """What the leader says to it; an empty `error`: it has begun."""
+    """The leader's response to `MembershipRequest`; an empty `error` means that the change has begun."""
 
     context: int
     error: str = ""
@@ -201,6 +225,6 @@
 _CONFIG = msgspec.msgpack.Decoder(Config)
 
 
-def read_config(data: bytes) -> Config:
-    """Raises `msgspec.MsgspecError`."""
+def decode_config(data: bytes) -> Config:
+    """Decode the data of a configuration entry. Raises `msgspec.MsgspecError`."""
     return _CONFIG.decode(data)
--- a/eiderpin/store/raft.py
+++ b/eiderpin/store/raft.py
@@ -1,7 +1,8 @@
-"""Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) as a pure machine: ticks, messages and
-proposals in; what to persist, what to send and what to apply out, in that order. No clock, no disk, no wire.
+"""The Raft consensus algorithm as a state machine without I/O.
 
-Sections named below are the dissertation's.
+Inputs are ticks, messages and proposals; the output says what to persist, send and apply, and in which order.
+The module uses no clock, disk or network. Section numbers in comments refer to Ongaro's dissertation
+"Consensus: Bridging Theory and Practice" (2014).
 """
 
 from __future__ import annotations
@@ -33,479 +34,601 @@
     VoteRequest,
     VoteResponse,
 )
-from eiderpin.store.progress import PART, Mode, Progress
+from eiderpin.store.progress import SNAPSHOT_CHUNK_BYTES, Mode, Progress
 
-# Ticks without a leader after which a member campaigns; the draw is below twice that.
+# Lower bound of the election timeout. Each timeout is drawn at random, from this to just below twice as much.
 ELECTION_TICKS = 10
-BEAT = 2  # ticks between a leader's beats
-APPEND_BYTES = 128 << 10  # entries in one message
-MOST_OPEN_BYTES = 16 << 20  # proposals that are not committed
-MOST_READS = 4096  # reads that wait for their round
-HEARD = 2 * ELECTION_TICKS  # ticks for which one who was heard of counts as there
-CHANGE_ROUND = 16  # entries that a learner may lack when it is made a voter
+HEARTBEAT_TICKS = 2  # between two heartbeats of a leader
+MAX_APPEND_BYTES = 128 << 10  # of entries in one Append message
+MAX_UNCOMMITTED_BYTES = 16 << 20  # of proposals that a leader accepts before they are committed
+MAX_PENDING_READS = 4096  # reads that wait for a heartbeat round; also the limit of deferred reads
+PRESENCE_TICKS = 2 * ELECTION_TICKS  # after a member's last message, during which it counts as reachable
+MAX_LEARNER_LAG_ENTRIES = 16  # entries that a learner may lack when it is made a voter
 
 
 class Role(Enum):
-    """What a member is in its term."""
+    """The role of a member in its current term. The values appear in the status that operators read."""
 
     FOLLOWER = "follower"
-    ASKING = "asking"  # a pre-vote is under way (9.6)
+    PRE_CANDIDATE = "asking"  # asks for pre-votes, before it raises its term (9.6)
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class NotLeader(Exception):
-    """It leads no more, never did or can't now (`why`); `leader` is the one to ask, empty: none is known."""
+    """This member is not the leader, or cannot act as one now."""
 
     def __init__(self, leader: str, why: str = "") -> None:
-        """`leader`: who may know better; empty: nobody does."""
+        """Name the member to ask instead.
+
+        Args:
+            leader: The member that may be the leader; empty if none is known.
+            why: The reason, if there is a more specific one.
+        """
         super().__init__(why or (f"the leader is {leader}" if leader else "there is no leader now"))
         self.leader = leader
 
 
 class Refused(Exception):
-    """It can't be done now, or not at all; the message says why."""
+    """The request cannot be carried out now, or not at all; the message says why."""
 
 
 @dataclass(slots=True)
-class Out:
-    """What is to be done, in this order: persist `snapshot`, `hard` and `entries` (these replace what the
-    disk has from their first index on); send `after` once that, and all that was to be persisted earlier, is
-    on disk; send `now` at once; apply `committed` in order; serve `reads` once their index is applied."""
-
-    hard: HardState | None = None
+class RaftOutput:
+    """What the caller has to do, in this order.
+
+    1. Persist `snapshot`, `hard_state` and `entries`. The entries replace what the disk has from their first
+       index on.
+    2. Send `messages_after_persist` once this output and all earlier ones are on disk.
+    3. Send `messages` at once.
+    4. Apply `committed` in order.
+    5. Serve each of `reads` (context, index) once the entry at its index is applied.
+    """
+
+    hard_state: HardState | None = None
     entries: list[Entry] = field(default_factory=list)
     snapshot: Snapshot | None = None
-    now: list[Message] = field(default_factory=list)
-    after: list[Message] = field(default_factory=list)
+    messages: list[Message] = field(default_factory=list)
+    messages_after_persist: list[Message] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
     reads: list[tuple[int, int]] = field(default_factory=list)  # context, index
 
     @property
-    def persists(self) -> bool:
-        """Whether something has to be on disk before the rest."""
-        return self.hard is not None or bool(self.entries) or self.snapshot is not None
+    def needs_persisting(self) -> bool:
+        """Whether anything has to be written to disk."""
+        return self.hard_state is not None or bool(self.entries) or self.snapshot is not None
 
 
 class Raft:
-    """One member. Call `tick`, `step`, `propose` and the like, then `out()` and do what it says; tell
-    `persisted` what has come to disk."""
+    """The Raft state of one member.
 
-    append_bytes = APPEND_BYTES
+    The caller invokes `tick`, `step`, `propose` and the like, then carries out what `take_output` returns,
+    and calls `record_persisted` when entries have reached the disk.
+    """
+
+    max_append_bytes = MAX_APPEND_BYTES
 
     def __init__(
         self, name: str, hard: HardState, snapshot: Snapshot, entries: Sequence[Entry], rng: random.Random,
         disk: str = "",
     ) -> None:  # fmt: skip
-        """Begin as a follower, from what the disk holds."""
+        """Start as a follower with the state that was read from disk.
+
+        Args:
+            name: The name of this member.
+            hard: The term and vote on disk.
+            snapshot: The last snapshot on disk.
+            entries: The log entries after it.
+            rng: Draws the election timeouts.
+            disk: The id of the disk that this member runs on.
+        """
         self.name, self.rng, self.disk = name, rng, disk
         self.term, self.vote = hard.term, hard.vote
         self.log = EntryLog(snapshot, entries)
-        self.stable = self.log.last  # of our own log, on disk
-        self.commit = self.handed = snapshot.index  # handed out to be applied
+        self.stable_index = self.log.last  # the last entry of our log that is on our disk
+        self.commit = self.delivered = snapshot.index  # last entry that was output to be applied
         self.role, self.leader = Role.FOLLOWER, ""
-        self.may_lead = True  # False while our disk fails
+        self.may_lead = True  # False while our disk does not accept writes
         self.votes: dict[str, bool] = {}
         self.peers: dict[str, Progress] = {}
-        self.known: dict[str, str] = {}  # the disks that `peers` is about
+        self.peer_disks: dict[str, str] = {}  # the disk that the progress in `peers` refers to
         self.ticks = 0
-        self.heard: dict[str, int] = {}  # ticks at which a leader last heard a member on its disk ...
-        self.strangers: dict[str, str] = {}  # ... and who speaks by a member's name from another disk
-        self.heir = ""  # who is being handed our place
-        self.heir_ticks = 0
-        self.round = 0
-        self.reads: list[tuple[int, str, int, int]] = []  # round, who asked, context, index
-        self.early_reads: list[tuple[str, int]] = []  # asked before our term has a committed entry
-        self.open_bytes = 0
-        self.coming: tuple[SnapshotChunk, bytearray] | None = None
-        self.elapsed = self.beat_elapsed = 0
-        self.beat_due = False
-        self.gone = False  # we have been told that we are no member any more
-        self._out = Out()
-        self._told = hard
-        self._new_timeout()
-
-    # -- what the caller says
+        # As leader: the tick of the last message from each member on its configured disk ...
+        self.last_heard: dict[str, int] = {}
+        # ... and the members that answered from a disk that the configuration does not name.
+        self.unknown_disks: dict[str, str] = {}
+        self.transfer_target = ""  # the voter that leadership is being transferred to
+        self.transfer_ticks = 0
+        self.heartbeat_round = 0
+        self.pending_reads: list[tuple[int, str, int, int]] = []  # round, requester, context, index
+        self.deferred_reads: list[tuple[str, int]] = []  # wait for a committed entry of our term
+        self.uncommitted_bytes = 0
+        self.incoming_snapshot: tuple[SnapshotChunk, bytearray] | None = None
+        self.elapsed = self.heartbeat_elapsed = 0
+        self.heartbeat_due = False
+        self.notified_removed = False  # a member has told us that we were removed
+        self._output = RaftOutput()
+        self._reported_hard_state = hard
+        self._reset_election_timer()
+
+    # -- calls of the owner
 
     def tick(self) -> None:
-        """Let one tick pass."""
+        """Advance the clock by one tick."""
         self.ticks += 1
         self.elapsed += 1
         if self.role is Role.LEADER:
-            self._leader_tick()
-        elif self.elapsed >= self.timeout:
+            self._tick_as_leader()
+        elif self.elapsed >= self.election_timeout:
             self.campaign()
 
     @property
-    def removed(self) -> bool:
-        """Whether we are no member any more, as far as we know."""
+    def is_removed(self) -> bool:
+        """Whether this member has been removed from the cluster, as far as it knows."""
         config = self.log.config
-        left = bool(config.voters) and self.name not in config.all() and self.log.config_at <= self.commit
-        return self.gone or left
+        left_out = (
+            bool(config.voters) and self.name not in config.all() and self.log.config_index <= self.commit
+        )
+        return self.notified_removed or left_out
 
     def campaign(self, force: bool = False) -> None:
-        """Ask whether we would be elected; `force`: a leader has told us to take over, so ask for real."""
-        if not self._is_voter() or not self.may_lead or self.gone:
+        """Start a pre-vote, or an election at once.
+
+        Args:
+            force: The leader has told this member to take over, so the pre-vote is skipped.
+        """
+        if not self._is_voter() or not self.may_lead or self.notified_removed:
             self.elapsed = 0
             return
-        self._follow(self.term, "")
+        self._become_follower(self.term, "")
         if force:
-            self._be_candidate(force=True)
+            self._become_candidate(force=True)
             return
-        self.role, self.votes = Role.ASKING, {self.name: True}
-        self._ask_all(self.term + 1, pre=True)
-        self._count_votes()
+        self.role, self.votes = Role.PRE_CANDIDATE, {self.name: True}
+        self._request_votes(self.term + 1, pre=True)
+        self._tally_votes()
+
+    def bootstrap(self, config: Config) -> None:
+        """Start a new cluster with these members.
 
-    def found(self, config: Config) -> None:
-        """Begin a new cluster: whoever founds it has the only log, and the others take it from there."""
+        Only one member does so; the others get the log from it.
+
+        Raises:
+            Refused: This member has a log already.
+        """
         if self.log.last:
             raise Refused("there is a log already")
         entry = Entry(1, 0, int(EntryKind.CONFIG), config.pack())
         self.log.append([entry])
-        self._out.entries.append(entry)
-        self._new_timeout()
+        self._output.entries.append(entry)
+        self._reset_election_timer()
 
     def propose(self, data: Sequence[bytes]) -> None:
-        """Have these commands committed; a follower passes them on. Nothing is promised: a change of leader
-        may lose them. Raises `NotLeader` and `Refused`."""
+        """Append commands to the log, or forward them to the leader.
+
+        They may be lost when the leader changes.
+
+        Raises:
+            NotLeader: No leader is known, or leadership is being transferred.
+            Refused: Too many bytes are uncommitted.
+        """
         if self.role is not Role.LEADER:
             if not self.leader:
                 raise NotLeader("")
-            self._now(Forward(self.name, self.leader, self.term, list(data)))
+            self._send(Forward(self.name, self.leader, self.term, list(data)))
             return
         size = sum(len(d) + 32 for d in data)
-        if self.heir:
-            raise NotLeader(self.heir)  # as good as
-        if self.open_bytes + size > MOST_OPEN_BYTES:
-            raise Refused(f"{self.open_bytes} bytes wait to be committed")
-        self.open_bytes += size
-        self._append([(EntryKind.COMMAND, d) for d in data])
-
-    def change(self, config: Config) -> None:
-        """Have the members changed, by one voter at most (4.1). Raises `NotLeader` and `Refused`."""
+        if self.transfer_target:
+            raise NotLeader(self.transfer_target)  # it is about to take over
+        if self.uncommitted_bytes + size > MAX_UNCOMMITTED_BYTES:
+            raise Refused(f"{self.uncommitted_bytes} bytes wait to be committed")
+        self.uncommitted_bytes += size
+        self._append_entries([(EntryKind.COMMAND, d) for d in data])
+
+    def change_config(self, config: Config) -> None:
+        """Append a configuration with changed members, by one voter at most (4.1).
+
+        Raises:
+            NotLeader: This member does not lead.
+            Refused: The change is not safe, or not safe yet.
+        """
         if self.role is not Role.LEADER:
             raise NotLeader(self.leader)
         old = self.log.config
-        if self.log.config_at > self.commit:
+        if self.log.config_index > self.commit:
             raise Refused("an earlier change of members is under way")
         if self.log.term(self.commit) != self.term:
-            # Without an entry of its own term committed, two leaders' changes may not overlap in a quorum.
-            raise Refused("this leader has just begun; again in a moment")
-        moved = set(old.voters) ^ set(config.voters)
-        if len(moved) > 1:
-            raise Refused("one voter at a time may come or go")
+            # Before it has committed an entry of its own term, the quorums of its change and of an earlier
+            # leader's change need not overlap.
+            raise Refused("this leader has just begun; try again in a moment")
+        changed = set(old.voters) ^ set(config.voters)
+        if len(changed) > 1:
+            raise Refused("one voter at a time may be added or removed")
         if not config.voters:
-            raise Refused("the last voter can't go")
-        there = [n for n in config.voters if n == self.name or self.heard.get(n, 0) + HEARD > self.ticks]
-        if moved & set(old.voters) and len(there) <= len(config.voters) // 2:
-            # One that is gone, or has lost its disk, would be needed to have this committed, and all else.
-            raise Refused(f"of those that would be left only {', '.join(sorted(there)) or 'none'} is there")
-        for name in moved & set(config.voters):
-            known = self.peers.get(name)
-            if name != self.name and (known is None or known.match + CHANGE_ROUND < self.log.last):
+            raise Refused("the last voter can't be removed")
+        reachable = [
+            n
+            for n in config.voters
+            if n == self.name or self.last_heard.get(n, 0) + PRESENCE_TICKS > self.ticks
+        ]
+        if changed & set(old.voters) and len(reachable) <= len(config.voters) // 2:
+            # Committing this change, and everything after it, would need a member that is down or has lost
+            # its disk.
+            raise Refused(
+                f"of those that would be left only {', '.join(sorted(reachable)) or 'none'} is there"
+            )
+        for name in changed & set(config.voters):
+            peer = self.peers.get(name)
+            if name != self.name and (peer is None or peer.match + MAX_LEARNER_LAG_ENTRIES < self.log.last):
                 raise Refused(f"{name} has to catch up as a learner first")
-        self._append([(EntryKind.CONFIG, config.pack())])
+        self._append_entries([(EntryKind.CONFIG, config.pack())])
 
     def read(self, context: int) -> None:
-        """Have `context` told with an index in `Out.reads`, once we know that all that was committed before
-        this call is covered (6.4). May be lost with a change of leader. Raises `NotLeader` and `Refused`."""
+        """Request a linearizable read (6.4).
+
+        `context` appears in `RaftOutput.reads` with the index that must be applied first, once a quorum has
+        confirmed the leader. The request may be lost when the leader changes.
+
+        Raises:
+            NotLeader: No leader is known.
+        """
         if self.role is Role.LEADER:
-            self._read(self.name, context)
+            self._start_read(self.name, context)
         elif self.leader:
-            self._now(ReadIndexRequest(self.name, self.leader, self.term, context))
+            self._send(ReadIndexRequest(self.name, self.leader, self.term, context))
         else:
             raise NotLeader("")
 
-    def transfer(self, to: str) -> None:
-        """Hand our place over (3.10). Raises `NotLeader` and `Refused`."""
+    def transfer_leadership(self, to: str) -> None:
+        """Transfer leadership to another voter (3.10).
+
+        Raises:
+            NotLeader: This member does not lead.
+            Refused: `to` is not another voter.
+        """
         if self.role is not Role.LEADER:
             raise NotLeader(self.leader)
         if to not in self.log.config.voters or to == self.name:
             raise Refused(f"{to!r} is no other voter; there are {', '.join(sorted(self.log.config.voters))}")
-        self.heir, self.heir_ticks = to, 0
+        self.transfer_target, self.transfer_ticks = to, 0
         if self.peers[to].match == self.log.last:
-            self._now(TimeoutNow(self.name, to, self.term))
+            self._send(TimeoutNow(self.name, to, self.term))
         else:
-            self._send_to(to)
+            self._replicate_to(to)
+
+    def stop_leading(self) -> None:
+        """Step down and do not campaign, because the disk does not accept writes.
 
-    def give_up(self) -> None:
-        """Lead no more, and do not campaign: our disk takes nothing. `may_lead` undoes it."""
+        Setting `may_lead` undoes it.
+        """
         self.may_lead = False
         if self.role is not Role.FOLLOWER:
-            self._follow(self.term, "")
+            self._become_follower(self.term, "")
 
-    def persisted(self, index: int, term: int) -> None:
-        """All up to this entry is on our disk."""
-        if self.log.term(index) == term and index > self.stable:
-            self.stable = index
+    def record_persisted(self, index: int, term: int) -> None:
+        """Note that all entries up to this one are on our disk."""
+        if self.log.term(index) == term and index > self.stable_index:
+            self.stable_index = index
             if self.role is Role.LEADER:
-                self._count_commit()
+                self._advance_commit()
 
     def compact(self, snapshot: Snapshot, keep: int) -> None:
-        """`snapshot` holds all that was applied up to its index."""
+        """Drop the entries that `snapshot` covers, except the last `keep` of them."""
         if snapshot.index > self.log.snapshot.index:
             self.log.compact(snapshot, keep)
 
-    def out(self) -> Out:
-        """What is to be done now; asked for once, it is not given again."""
-        if self.beat_due and self.role is Role.LEADER:
-            self._beat()
-        found, self._out = self._out, Out()
+    def take_output(self) -> RaftOutput:
+        """Return what is to be done now, and clear it."""
+        if self.heartbeat_due and self.role is Role.LEADER:
+            self._broadcast_heartbeat()
+        output, self._output = self._output, RaftOutput()
         hard = HardState(self.term, self.vote)
-        if hard != self._told:
-            found.hard = self._told = hard
-        # Our own disk comes first: what is applied can be read from it again.
-        upto = min(self.commit, self.stable)
-        if upto > self.handed:
-            found.committed = self.log.slice(self.handed + 1, upto)
-            self.handed = upto
-        return found
+        if hard != self._reported_hard_state:
+            output.hard_state = self._reported_hard_state = hard
+        # Only entries on our own disk are applied, so that a restart finds everything that was applied.
+        last = min(self.commit, self.stable_index)
+        if last > self.delivered:
+            output.committed = self.log.slice(self.delivered + 1, last)
+            self.delivered = last
+        return output
 
     # -- messages
 
-    def step(self, m: Message) -> None:
-        """Take in what another member says. One that is unknown to us may be a new leader's."""
-        if isinstance(m, NotAMember):
-            if m.disk in ("", self.disk):
-                self.gone = self.gone or m.index > self.log.config_at
+    def step(self, message: Message) -> None:
+        """Handle a message from another member.
+
+        The sender may be missing from our configuration: a new leader can be a member by entries that we
+        do not have yet.
+        """
+        if isinstance(message, NotAMember):
+            if message.disk in ("", self.disk):
+                self.notified_removed = self.notified_removed or message.index > self.log.config_index
             return
-        if isinstance(m, VoteRequest) and self._has_left(m):
-            self._after(NotAMember(self.name, m.frm, self.term, self.log.config_at))
+        if isinstance(message, VoteRequest) and self._is_removed_member(message):
+            self._send_after_persist(NotAMember(self.name, message.frm, self.term, self.log.config_index))
             return
         if isinstance(
-            m, VoteResponse | AppendResponse | HeartbeatResponse | SnapshotChunkResponse
-        ) and not self._is_itself(m.frm, m.disk):
+            message, VoteResponse | AppendResponse | HeartbeatResponse | SnapshotChunkResponse
+        ) and not self._is_known_disk(message.frm, message.disk):
             return
-        if m.term < self.term:
-            self._step_old(m)
+        if message.term < self.term:
+            self._handle_old_term(message)
             return
-        if m.term > self.term and not self._step_newer(m):
+        if message.term > self.term and not self._accept_newer_term(message):
             return
-        kind = type(m)
+        kind = type(message)
         if kind is VoteRequest:
-            self._asked(m)  # type: ignore[arg-type]
+            self._handle_vote_request(message)  # type: ignore[arg-type]
         elif kind is VoteResponse:
-            self._voted(m)  # type: ignore[arg-type]
+            self._handle_vote_response(message)  # type: ignore[arg-type]
         elif kind is Append or kind is Heartbeat or kind is SnapshotChunk:
-            if self.role is not Role.FOLLOWER or self.leader != m.frm:
-                self._follow(self.term, m.frm)
-            self.elapsed, self.gone = 0, False
-            if isinstance(m, Append):
-                self._take(m)
-            elif isinstance(m, Heartbeat):
-                if m.disk in ("", self.disk):
-                    self._commit_to(min(m.commit, self.log.last))
-                self._after(HeartbeatResponse(self.name, m.frm, self.term, m.round, self.disk))
-            elif isinstance(m, SnapshotChunk):
-                self._take_snap(m)
+            if self.role is not Role.FOLLOWER or self.leader != message.frm:
+                self._become_follower(self.term, message.frm)
+            self.elapsed, self.notified_removed = 0, False
+            if isinstance(message, Append):
+                self._handle_append(message)
+            elif isinstance(message, Heartbeat):
+                if message.disk in ("", self.disk):
+                    self._commit_to(min(message.commit, self.log.last))
+                self._send_after_persist(
+                    HeartbeatResponse(self.name, message.frm, self.term, message.round, self.disk)
+                )
+            elif isinstance(message, SnapshotChunk):
+                self._handle_snapshot_chunk(message)
         elif kind is TimeoutNow:
             self.campaign(force=True)
-        elif kind is ReadIndexResponse and isinstance(m, ReadIndexResponse):
-            self._out.reads.append((m.context, m.index))
+        elif kind is ReadIndexResponse and isinstance(message, ReadIndexResponse):
+            self._output.reads.append((message.context, message.index))
         elif self.role is Role.LEADER:
-            self._step_leader(m)
-
-    def _is_itself(self, name: str, disk: str) -> bool:
-        """Whether who answers is the member that the configuration means, and not one who begins anew, or
-        goes on from an old copy, under its name. A leader remembers the others, to take them in again."""
-        known = self.log.config.disks.get(name, disk)
-        if known != disk and disk in self.log.config.retired:
-            self._now(NotAMember(self.name, name, self.term, self.log.config_at, disk))
+            self._step_as_leader(message)
+
+    def _is_known_disk(self, name: str, disk: str) -> bool:
+        """Return whether a response comes from the disk that the configuration names for this member.
+
+        A process with an empty disk, or with an old copy of the disk, may answer under a member's name. A
+        leader notes such disks in `unknown_disks`, so that they can be admitted again.
+        """
+        configured = self.log.config.disks.get(name, disk)
+        if configured != disk and disk in self.log.config.retired:
+            self._send(NotAMember(self.name, name, self.term, self.log.config_index, disk))
         elif self.role is Role.LEADER and name in self.peers:
-            if known == disk:
-                self.heard[name] = self.ticks
-            if known != disk or name not in self.log.config.disks:
-                self.strangers[name] = disk
-        return known == disk
-
-    def _has_left(self, m: VoteRequest) -> bool:
-        """Whether it was removed and does not know it. One whose log is as new as ours may be a member by an
-        entry that we lack, and gets its answer."""
-        config, settled = self.log.config, self.log.config_at <= self.commit
-        known = not config.voters or m.frm in config.all()
-        return settled and not known and not self.log.up_to_date(m.last_index, m.last_term)
-
-    def _step_old(self, m: Message) -> None:
-        """Of a term that has passed. One who still thinks that it leads, or asks, has to hear of ours."""
-        if isinstance(m, Append | Heartbeat | SnapshotChunk):
-            self._appended(m, False, 0)
-        elif isinstance(m, VoteRequest):
-            self._after(VoteResponse(self.name, m.frm, self.term, False, m.pre, self.disk))
-
-    def _step_newer(self, m: Message) -> bool:
-        """Whether a message of a later term is to be looked at further."""
-        if isinstance(m, VoteRequest):
-            leads = self.role is Role.LEADER or (self.leader != "" and self.elapsed < ELECTION_TICKS)
-            if leads and not m.force:
-                return False  # we hear of a leader: one who was cut off must not unseat it (4.2.3, 9.6)
-            if not m.pre:
-                self._follow(m.term, "")
-        elif isinstance(m, VoteResponse) and m.pre and m.granted:
-            pass  # it speaks of the term that we asked about
-        elif isinstance(m, Append | Heartbeat | SnapshotChunk):
-            self._follow(m.term, m.frm)
+            if configured == disk:
+                self.last_heard[name] = self.ticks
+            if configured != disk or name not in self.log.config.disks:
+                self.unknown_disks[name] = disk
+        return configured == disk
+
+    def _is_removed_member(self, message: VoteRequest) -> bool:
+        """Return whether the sender has been removed without knowing it.
+
+        A sender whose log is at least as new as ours may be a member by an entry that we lack, so it is not
+        counted as removed.
+        """
+        config, config_committed = self.log.config, self.log.config_index <= self.commit
+        is_member = not config.voters or message.frm in config.all()
+        return (
+            config_committed
+            and not is_member
+            and not self.log.is_up_to_date(message.last_index, message.last_term)
+        )
+
+    def _handle_old_term(self, message: Message) -> None:
+        """Answer a message of an earlier term: a stale leader or candidate learns the current term."""
+        if isinstance(message, Append | Heartbeat | SnapshotChunk):
+            self._respond_to_append(message, False, 0)
+        elif isinstance(message, VoteRequest):
+            self._send_after_persist(
+                VoteResponse(self.name, message.frm, self.term, False, message.pre, self.disk)
+            )
+
+    def _accept_newer_term(self, message: Message) -> bool:
+        """Enter the later term of a message where it calls for that; return whether to handle the message."""
+        if isinstance(message, VoteRequest):
+            has_leader = self.role is Role.LEADER or (self.leader != "" and self.elapsed < ELECTION_TICKS)
+            if has_leader and not message.force:
+                return False  # a member that was partitioned must not depose a live leader (4.2.3, 9.6)
+            if not message.pre:
+                self._become_follower(message.term, "")
+        elif isinstance(message, VoteResponse) and message.pre and message.granted:
+            pass  # the term is the one that we requested the pre-vote for
+        elif isinstance(message, Append | Heartbeat | SnapshotChunk):
+            self._become_follower(message.term, message.frm)
         else:
-            self._follow(m.term, "")
+            self._become_follower(message.term, "")
         return True
 
-    def _asked(self, m: VoteRequest) -> None:
-        free = m.pre or self.vote in ("", m.frm)
-        if self.role is not Role.FOLLOWER and not m.pre and m.term == self.term:
-            free = False
-        if m.pre and m.term <= self.term:
-            free = False
-        granted = free and self.log.up_to_date(m.last_index, m.last_term) and self.may_lead
-        if granted and not m.pre:
-            self.vote, self.elapsed = m.frm, 0
-        self._after(
-            VoteResponse(self.name, m.frm, m.term if granted else self.term, granted, m.pre, self.disk)
+    def _handle_vote_request(self, message: VoteRequest) -> None:
+        can_grant = message.pre or self.vote in ("", message.frm)
+        if self.role is not Role.FOLLOWER and not message.pre and message.term == self.term:
+            can_grant = False
+        if message.pre and message.term <= self.term:
+            can_grant = False
+        granted = (
+            can_grant and self.log.is_up_to_date(message.last_index, message.last_term) and self.may_lead
+        )
+        if granted and not message.pre:
+            self.vote, self.elapsed = message.frm, 0
+        self._send_after_persist(
+            VoteResponse(
+                self.name,
+                message.frm,
+                message.term if granted else self.term,
+                granted,
+                message.pre,
+                self.disk,
+            )
         )
 
-    def _voted(self, m: VoteResponse) -> None:
-        asked = self.term + 1 if self.role is Role.ASKING else self.term
-        if m.pre is not (self.role is Role.ASKING) or self.role not in (Role.ASKING, Role.CANDIDATE):
+    def _handle_vote_response(self, message: VoteResponse) -> None:
+        requested_term = self.term + 1 if self.role is Role.PRE_CANDIDATE else self.term
+        if message.pre is not (self.role is Role.PRE_CANDIDATE) or self.role not in (
+            Role.PRE_CANDIDATE,
+            Role.CANDIDATE,
+        ):
             return
-        if m.granted and m.term != asked:
+        if message.granted and message.term != requested_term:
             return
-        self.votes[m.frm] = m.granted
-        self._count_votes()
-
-    def _take(self, m: Append) -> None:
-        if m.prev < self.log.base:
-            # All up to our base is committed, so it matches: what follows it may be of use.
-            left = [e for e in m.entries if e.index > self.log.base]
-            last = m.prev + len(m.entries)
-            if not left:
-                have = min(self.commit, max(last, m.prev))
-                self._appended(m, True, have)
+        self.votes[message.frm] = message.granted
+        self._tally_votes()
+
+    def _handle_append(self, message: Append) -> None:
+        if message.prev < self.log.base:
+            # Everything up to our base is committed and so matches; only later entries can be new.
+            newer = [e for e in message.entries if e.index > self.log.base]
+            last = message.prev + len(message.entries)
+            if not newer:
+                matched = min(self.commit, max(last, message.prev))
+                self._respond_to_append(message, True, matched)
                 return
-            m = Append(m.frm, m.to, m.term, self.log.base, self.log.base_term, left, m.commit)
-        if not self.log.match(m.prev, m.prev_term):
-            hint, hint_term = self.log.hint(m.prev, m.prev_term)
-            self._appended(m, False, m.prev, hint, hint_term)
+            message = Append(
+                message.frm,
+                message.to,
+                message.term,
+                self.log.base,
+                self.log.base_term,
+                newer,
+                message.commit,
+            )
+        if not self.log.matches(message.prev, message.prev_term):
+            hint, hint_term = self.log.conflict_hint(message.prev, message.prev_term)
+            self._respond_to_append(message, False, message.prev, hint, hint_term)
             return
-        new = self.log.merge(m.entries)
-        if new is not None:
-            assert new > self.commit, "what is committed is never cut"
-            self.stable = min(self.stable, new - 1)
-            self._out.entries += self.log.slice(new, self.log.last)
-        last = m.prev + len(m.entries)
-        self._commit_to(min(m.commit, last))
-        self._appended(m, True, last)
-
-    def _appended(self, m: Message, ok: bool, index: int, hint: int = 0, hint_term: int = 0) -> None:
-        self._after(AppendResponse(self.name, m.frm, self.term, ok, index, hint, hint_term, self.disk))
-
-    def _snap_back(self, m: SnapshotChunk, offset: int) -> None:
-        self._after(SnapshotChunkResponse(self.name, m.frm, self.term, m.index, offset, self.disk))
-
-    def _take_snap(self, m: SnapshotChunk) -> None:
-        if m.index <= self.commit:
-            self._snap_back(m, m.total)
-            self._appended(m, True, self.commit)
+        first_new = self.log.merge(message.entries)
+        if first_new is not None:
+            assert first_new > self.commit, "committed entries are never replaced"
+            self.stable_index = min(self.stable_index, first_new - 1)
+            self._output.entries += self.log.slice(first_new, self.log.last)
+        last = message.prev + len(message.entries)
+        self._commit_to(min(message.commit, last))
+        self._respond_to_append(message, True, last)
+
+    def _respond_to_append(
+        self, message: Message, ok: bool, index: int, hint: int = 0, hint_term: int = 0
+    ) -> None:
+        self._send_after_persist(
+            AppendResponse(self.name, message.frm, self.term, ok, index, hint, hint_term, self.disk)
+        )
+
+    def _respond_to_chunk(self, message: SnapshotChunk, offset: int) -> None:
+        self._send_after_persist(
+            SnapshotChunkResponse(self.name, message.frm, self.term, message.index, offset, self.disk)
+        )
+
+    def _handle_snapshot_chunk(self, message: SnapshotChunk) -> None:
+        if message.index <= self.commit:
+            self._respond_to_chunk(message, message.total)
+            self._respond_to_append(message, True, self.commit)
             return
-        if m.offset == 0:
-            self.coming = (m, bytearray())
-        if self.coming is None:
-            self._snap_back(m, 0)
+        if message.offset == 0:
+            self.incoming_snapshot = (message, bytearray())
+        if self.incoming_snapshot is None:
+            self._respond_to_chunk(message, 0)
             return
-        first, data = self.coming
-        same = (first.index, first.snap_term, first.total) == (m.index, m.snap_term, m.total)
-        if not same or m.offset != len(data):
-            at = len(data) if same else 0
-            self._snap_back(m, at)
+        first, data = self.incoming_snapshot
+        is_same = (first.index, first.snap_term, first.total) == (
+            message.index,
+            message.snap_term,
+            message.total,
+        )
+        if not is_same or message.offset != len(data):
+            expected_offset = len(data) if is_same else 0
+            self._respond_to_chunk(message, expected_offset)
             return
-        data += m.data
-        if len(data) < m.total:
-            self._snap_back(m, len(data))
+        data += message.data
+        if len(data) < message.total:
+            self._respond_to_chunk(message, len(data))
             return
-        self.coming = None
-        snapshot = Snapshot(m.index, m.snap_term, m.config, bytes(data))
-        self.log.restore(snapshot)
-        self.commit = self.handed = self.stable = m.index
-        # What was to be persisted or applied before is in it, or of a log that it replaces.
-        self._out.entries.clear()
-        self._out.snapshot = snapshot
-        self._snap_back(m, m.total)
-        self._appended(m, True, m.index)
-
-    # -- a leader
-
-    def _step_leader(self, m: Message) -> None:
-        if isinstance(m, Forward):
+        self.incoming_snapshot = None
+        snapshot = Snapshot(message.index, message.snap_term, message.config, bytes(data))
+        self.log.reset_to_snapshot(snapshot)
+        self.commit = self.delivered = self.stable_index = message.index
+        # Entries that wait to be persisted are covered by the snapshot, or belong to the log it replaces.
+        self._output.entries.clear()
+        self._output.snapshot = snapshot
+        self._respond_to_chunk(message, message.total)
+        self._respond_to_append(message, True, message.index)
+
+    # -- as leader
+
+    def _step_as_leader(self, message: Message) -> None:
+        if isinstance(message, Forward):
             try:
-                self.propose(m.data)
+                self.propose(message.data)
             except (NotLeader, Refused):
-                return  # as if lost: who asked will ask again
-        elif isinstance(m, ReadIndexRequest):
-            self._read(m.frm, m.context)
-        peer = self.peers.get(m.frm)
+                return  # dropped like a lost message: the requester retries
+        elif isinstance(message, ReadIndexRequest):
+            self._start_read(message.frm, message.context)
+        peer = self.peers.get(message.frm)
         if peer is None:
             return
         peer.active = True
-        if isinstance(m, AppendResponse):
-            if m.ok and m.index <= self.log.last:
-                if peer.accepted(m.index):
-                    self._count_commit()
-                    if min(self.commit, peer.match) > peer.told and not self.beat_due:
-                        self._beat_to(m.frm)
-                if m.frm == self.heir and peer.match == self.log.last:
-                    self._now(TimeoutNow(self.name, m.frm, self.term))
-            elif not m.ok:
-                hint = m.hint
-                while hint > self.log.base and (self.log.term(hint) or 0) > m.hint_term:
+        if isinstance(message, AppendResponse):
+            if message.ok and message.index <= self.log.last:
+                if peer.record_match(message.index):
+                    self._advance_commit()
+                    if min(self.commit, peer.match) > peer.sent_commit and not self.heartbeat_due:
+                        self._send_heartbeat(message.frm)
+                if message.frm == self.transfer_target and peer.match == self.log.last:
+                    self._send(TimeoutNow(self.name, message.frm, self.term))
+            elif not message.ok:
+                hint = message.hint
+                while hint > self.log.base and (self.log.term(hint) or 0) > message.hint_term:
                     hint -= 1
-                peer.refused(m.index, hint)
-        elif isinstance(m, HeartbeatResponse):
-            peer.beat_back(m.round)
-            self._release_reads()
-        elif isinstance(m, SnapshotChunkResponse) and peer.mode is Mode.SNAPSHOT and m.index == peer.snapshot:
-            peer.offset, peer.paused = m.offset, False
-            if m.offset >= len(self.log.snapshot.data) or m.index != self.log.snapshot.index:
-                peer.probe(peer.snapshot + 1)
-        if self.role is Role.LEADER:  # it may have removed itself just now
-            self._send_to(m.frm)
-
-    def _leader_tick(self) -> None:
-        self.beat_elapsed += 1
-        if self.heir:
-            self.heir_ticks += 1
-            if self.heir_ticks >= ELECTION_TICKS:
-                self.heir = ""  # it did not take over: we go on
+                peer.record_mismatch(message.index, hint)
+        elif isinstance(message, HeartbeatResponse):
+            peer.record_heartbeat_response(message.round)
+            self._release_confirmed_reads()
+        elif (
+            isinstance(message, SnapshotChunkResponse)
+            and peer.mode is Mode.SNAPSHOT
+            and message.index == peer.snapshot_index
+        ):
+            peer.snapshot_offset, peer.paused = message.offset, False
+            if message.offset >= len(self.log.snapshot.data) or message.index != self.log.snapshot.index:
+                peer.start_probing(peer.snapshot_index + 1)
+        if self.role is Role.LEADER:  # committing its own removal ends its leadership
+            self._replicate_to(message.frm)
+
+    def _tick_as_leader(self) -> None:
+        self.heartbeat_elapsed += 1
+        if self.transfer_target:
+            self.transfer_ticks += 1
+            if self.transfer_ticks >= ELECTION_TICKS:
+                self.transfer_target = ""  # it did not take over in time, so this member goes on as leader
         if self.elapsed >= ELECTION_TICKS:
             self.elapsed = 0
-            heard = {n for n, p in self.peers.items() if p.active} | {self.name}
+            responding = {n for n, p in self.peers.items() if p.active} | {self.name}
             for peer in self.peers.values():
                 peer.active = False
-            if not self._quorum(heard):
-                self._follow(self.term, "")  # nobody would hear of what we commit (6.2)
+            if not self._is_quorum(responding):
+                self._become_follower(self.term, "")  # without a quorum nothing can be committed (6.2)
                 return
-        if self.beat_elapsed >= BEAT:
-            self._beat()
+        if self.heartbeat_elapsed >= HEARTBEAT_TICKS:
+            self._broadcast_heartbeat()
 
-    def _beat(self) -> None:
-        self.beat_elapsed, self.beat_due = 0, False
-        self.round += 1
+    def _broadcast_heartbeat(self) -> None:
+        self.heartbeat_elapsed, self.heartbeat_due = 0, False
+        self.heartbeat_round += 1
         for name in self.peers:
-            self._beat_to(name)
+            self._send_heartbeat(name)
 
-    def _beat_to(self, name: str) -> None:
+    def _send_heartbeat(self, name: str) -> None:
         peer = self.peers[name]
-        peer.beat(self.round)
-        # No more than it is known to have: its log may hold others' entries past that.
-        peer.told = min(self.commit, peer.match)
+        peer.record_heartbeat(self.heartbeat_round)
+        # Not beyond what it is known to have: past that its log may hold entries of another leader.
+        peer.sent_commit = min(self.commit, peer.match)
         disk = self.log.config.disks.get(name, "")
-        self._now(Heartbeat(self.name, name, self.term, peer.told, self.round, disk))
+        self._send(Heartbeat(self.name, name, self.term, peer.sent_commit, self.heartbeat_round, disk))
 
-    def _send_all(self) -> None:
+    def _replicate_to_all(self) -> None:
         for name in self.peers:
-            self._send_to(name)
+            self._replicate_to(name)
 
-    def _send_to(self, name: str) -> None:
+    def _replicate_to(self, name: str) -> None:
         peer = self.peers[name]
         while peer.may_send:
             if peer.mode is Mode.SNAPSHOT or peer.next <= self.log.base:
-                self._send_snap(name, peer)
+                self._send_snapshot_chunk(name, peer)
                 return
             if peer.mode is Mode.STREAM and peer.next > self.log.last:
                 return
@@ -513,160 +636,174 @@
                 return
             entries: list[Entry] = []
             if peer.next <= self.log.last:
-                entries = self.log.slice(peer.next, self.log.last, self.append_bytes)
+                entries = self.log.slice(peer.next, self.log.last, self.max_append_bytes)
             prev = peer.next - 1
             term = self.log.term(prev)
-            assert term is not None, "what is sent follows what is here"
-            self._now(Append(self.name, name, self.term, prev, term, entries, self.commit))
+            assert term is not None, "the entry before those that are sent is in the log"
+            self._send(Append(self.name, name, self.term, prev, term, entries, self.commit))
             last = entries[-1].index if entries else prev
-            peer.sent(last, sum(len(e.data) + 32 for e in entries))
+            peer.record_sent(last, sum(len(e.data) + 32 for e in entries))
 
-    def _send_snap(self, name: str, peer: Progress) -> None:
-        s = self.log.snapshot
-        peer.need_snapshot(s.index)
+    def _send_snapshot_chunk(self, name: str, peer: Progress) -> None:
+        snapshot = self.log.snapshot
+        peer.start_snapshot(snapshot.index)
         if peer.paused:
             return
-        part = s.data[peer.offset : peer.offset + PART]
-        self._now(
+        chunk = snapshot.data[peer.snapshot_offset : peer.snapshot_offset + SNAPSHOT_CHUNK_BYTES]
+        self._send(
             SnapshotChunk(
-                self.name, name, self.term, s.index, s.term, s.config, peer.offset, len(s.data), part
+                self.name,
+                name,
+                self.term,
+                snapshot.index,
+                snapshot.term,
+                snapshot.config,
+                peer.snapshot_offset,
+                len(snapshot.data),
+                chunk,
             )
         )
         peer.paused = True
 
-    def _append(self, items: Sequence[tuple[EntryKind, bytes]]) -> None:
+    def _append_entries(self, items: Sequence[tuple[EntryKind, bytes]]) -> None:
         entries = [Entry(self.log.last + 1 + i, self.term, int(k), d) for i, (k, d) in enumerate(items)]
         self.log.append(entries)
-        self._out.entries += entries
+        self._output.entries += entries
         if any(k is EntryKind.CONFIG for k, _ in items):
-            self._meet_peers()
-        self._send_all()
+            self._update_peers()
+        self._replicate_to_all()
 
-    def _meet_peers(self) -> None:
-        """Know just the members that the configuration names."""
-        config, known = self.log.config, self.known
-        self.known = {n: config.disks.get(n, "") for n in sorted(config.all()) if n != self.name}
+    def _update_peers(self) -> None:
+        """Keep progress for exactly the members that the configuration names."""
+        config, previous_disks = self.log.config, self.peer_disks
+        self.peer_disks = {n: config.disks.get(n, "") for n in sorted(config.all()) if n != self.name}
         self.peers = {
-            # Another disk has nothing of what the one before it had.
-            n: self.peers[n] if n in self.peers and known.get(n, "") in ("", disk)
+            # A replaced disk has nothing of what the previous one had, so its progress starts over.
+            n: self.peers[n] if n in self.peers and previous_disks.get(n, "") in ("", disk)
             else Progress(next=self.log.last + 1, active=True)
-            for n, disk in self.known.items()
+            for n, disk in self.peer_disks.items()
         }  # fmt: skip
-        self.strangers = {n: d for n, d in self.strangers.items() if self.known.get(n, d) != d}
+        self.unknown_disks = {n: d for n, d in self.unknown_disks.items() if self.peer_disks.get(n, d) != d}
 
-    def _count_commit(self) -> None:
-        """The highest entry that a quorum has on disk."""
+    def _advance_commit(self) -> None:
+        """Commit up to the highest entry that a quorum of the voters has on disk."""
         voters = self.log.config.voters
-        have = sorted((self.stable if n == self.name else self.peers[n].match for n in voters), reverse=True)
-        index = have[len(voters) // 2]
-        if index > self.commit and self._may_commit(index):
+        stored = sorted(
+            (self.stable_index if n == self.name else self.peers[n].match for n in voters), reverse=True
+        )
+        index = stored[len(voters) // 2]
+        if index > self.commit and self._can_commit(index):
             self._commit_to(index)
-            self.beat_due = True  # the others are to hear of it
-            early, self.early_reads = self.early_reads, []
-            for who, context in early:
-                self._read(who, context)
+            self.heartbeat_due = True  # tell the others about the new commit index
+            deferred, self.deferred_reads = self.deferred_reads, []
+            for requester, context in deferred:
+                self._start_read(requester, context)
 
-    def _may_commit(self, index: int) -> bool:
-        """An entry of an earlier term is committed only by one of ours after it (3.6.2)."""
+    def _can_commit(self, index: int) -> bool:
+        """Return whether the entry is of our term; earlier ones are committed along with it only (3.6.2)."""
         return self.log.term(index) == self.term
 
     def _commit_to(self, index: int) -> None:
         if index <= self.commit:
             return
         if self.role is Role.LEADER:
-            done = self.log.slice(self.commit + 1, index)
-            self.open_bytes -= sum(len(e.data) + 32 for e in done if e.kind == EntryKind.COMMAND)
-            self.open_bytes = max(0, self.open_bytes)
-        before, self.commit = self.commit, index
-        if self.role is Role.LEADER and before < self.log.config_at <= index and not self._is_voter():
-            self._retire()
-
-    def _retire(self) -> None:
-        """We have removed ourselves (4.2.2): the most advanced of the others is told to go on."""
-        self._beat()
-        self._send_all()
+            committed = self.log.slice(self.commit + 1, index)
+            self.uncommitted_bytes -= sum(len(e.data) + 32 for e in committed if e.kind == EntryKind.COMMAND)
+            self.uncommitted_bytes = max(0, self.uncommitted_bytes)
+        previous, self.commit = self.commit, index
+        if self.role is Role.LEADER and previous < self.log.config_index <= index and not self._is_voter():
+            self._step_down_after_removal()
+
+    def _step_down_after_removal(self) -> None:
+        """Hand over to the most up-to-date voter after committing our own removal (4.2.2)."""
+        self._broadcast_heartbeat()
+        self._replicate_to_all()
         voters = {n: p for n, p in self.peers.items() if n in self.log.config.voters}
-        heir = max(voters, key=lambda n: voters[n].match, default="")
-        if heir:
-            self._now(TimeoutNow(self.name, heir, self.term))
-        self._follow(self.term, "")
+        successor = max(voters, key=lambda n: voters[n].match, default="")
+        if successor:
+            self._send(TimeoutNow(self.name, successor, self.term))
+        self._become_follower(self.term, "")
 
     # -- reads
 
-    def _read(self, who: str, context: int) -> None:
+    def _start_read(self, requester: str, context: int) -> None:
         if self.log.term(self.commit) != self.term:
-            if len(self.early_reads) < MOST_READS:
-                self.early_reads.append((who, context))
+            if len(self.deferred_reads) < MAX_PENDING_READS:
+                self.deferred_reads.append((requester, context))
             return
-        if len(self.reads) >= MOST_READS:
-            return  # as if lost
-        self.reads.append((self.round + 1, who, context, self.commit))
-        if self._quorum({self.name}) or not self._read_needs_round():
-            self._release_reads()
+        if len(self.pending_reads) >= MAX_PENDING_READS:
+            return  # dropped like a lost message
+        self.pending_reads.append((self.heartbeat_round + 1, requester, context, self.commit))
+        if self._is_quorum({self.name}) or not self._read_needs_quorum():
+            self._release_confirmed_reads()
         else:
-            self.beat_due = True  # one for all that are asked in one turn
+            self.heartbeat_due = True  # one round confirms all reads that were requested by then
 
-    def _read_needs_round(self) -> bool:
-        """A leader that has been replaced must not answer from what it knows."""
+    def _read_needs_quorum(self) -> bool:
+        """Return whether a quorum must confirm the leader: one that was replaced would return stale data."""
         return True
 
-    def _release_reads(self) -> None:
-        while self.reads:
-            number, who, context, index = self.reads[0]
-            heard = {n for n, p in self.peers.items() if p.round >= number} | {self.name}
-            if not self._quorum(heard) and self._read_needs_round():
+    def _release_confirmed_reads(self) -> None:
+        while self.pending_reads:
+            round_number, requester, context, index = self.pending_reads[0]
+            confirmed = {n for n, p in self.peers.items() if p.acknowledged_round >= round_number} | {
+                self.name
+            }
+            if not self._is_quorum(confirmed) and self._read_needs_quorum():
                 return
-            self.reads.pop(0)
-            if who == self.name:
-                self._out.reads.append((context, index))
+            self.pending_reads.pop(0)
+            if requester == self.name:
+                self._output.reads.append((context, index))
             else:
-                self._now(ReadIndexResponse(self.name, who, self.term, context, index))
+                self._send(ReadIndexResponse(self.name, requester, self.term, context, index))
 
     # -- roles
 
-    def _follow(self, term: int, leader: str) -> None:
+    def _become_follower(self, term: int, leader: str) -> None:
         if term > self.term:
             self.term, self.vote = term, ""
         if self.role is Role.LEADER:
-            self.reads.clear()
-            self.early_reads.clear()
-            self.heir = ""
-        if leader != self.leader or self.coming is not None and not leader:
-            self.coming = None
+            self.pending_reads.clear()
+            self.deferred_reads.clear()
+            self.transfer_target = ""
+        if leader != self.leader or self.incoming_snapshot is not None and not leader:
+            self.incoming_snapshot = None
         self.role, self.leader = Role.FOLLOWER, leader
-        self._new_timeout()
+        self._reset_election_timer()
 
-    def _be_candidate(self, force: bool = False) -> None:
+    def _become_candidate(self, force: bool = False) -> None:
         self.term, self.vote = self.term + 1, self.name
         self.role, self.leader, self.votes = Role.CANDIDATE, "", {self.name: True}
-        self._new_timeout()
-        self._ask_all(self.term, pre=False, force=force)
-        self._count_votes()
+        self._reset_election_timer()
+        self._request_votes(self.term, pre=False, force=force)
+        self._tally_votes()
 
-    def _ask_all(self, term: int, pre: bool, force: bool = False) -> None:
+    def _request_votes(self, term: int, pre: bool, force: bool = False) -> None:
         for name in sorted(self.log.config.voters):
             if name != self.name:
-                self._after(VoteRequest(self.name, name, term, self.log.last, self.log.last_term, pre, force))
-
-    def _count_votes(self) -> None:
-        if self._quorum({n for n, yes in self.votes.items() if yes}):
-            if self.role is Role.ASKING:
-                self._be_candidate()
+                self._send_after_persist(
+                    VoteRequest(self.name, name, term, self.log.last, self.log.last_term, pre, force)
+                )
+
+    def _tally_votes(self) -> None:
+        if self._is_quorum({n for n, yes in self.votes.items() if yes}):
+            if self.role is Role.PRE_CANDIDATE:
+                self._become_candidate()
             else:
-                self._lead()
-        elif self._quorum({n for n, yes in self.votes.items() if not yes}):
-            self._follow(self.term, "")
-
-    def _lead(self) -> None:
-        self.role, self.leader, self.heir = Role.LEADER, self.name, ""
-        self.elapsed, self.open_bytes, self.peers = 0, 0, {}
-        self.reads, self.known, self.heard, self.strangers = [], {}, {}, {}
-        self._meet_peers()
-        self.heard = dict.fromkeys(self.peers, self.ticks)
-        self._append([(EntryKind.EMPTY, b"")])
-        self._beat()
-
-    def _quorum(self, names: set[str]) -> bool:
+                self._become_leader()
+        elif self._is_quorum({n for n, yes in self.votes.items() if not yes}):
+            self._become_follower(self.term, "")
+
+    def _become_leader(self) -> None:
+        self.role, self.leader, self.transfer_target = Role.LEADER, self.name, ""
+        self.elapsed, self.uncommitted_bytes, self.peers = 0, 0, {}
+        self.pending_reads, self.peer_disks, self.last_heard, self.unknown_disks = [], {}, {}, {}
+        self._update_peers()
+        self.last_heard = dict.fromkeys(self.peers, self.ticks)
+        self._append_entries([(EntryKind.EMPTY, b"")])
+        self._broadcast_heartbeat()
+
+    def _is_quorum(self, names: set[str]) -> bool:
         voters = self.log.config.voters
         return len(names & set(voters)) > len(voters) // 2
 
@@ -674,12 +811,12 @@
         config = self.log.config
         return self.name in config.voters and config.disks.get(self.name, self.disk) == self.disk
 
-    def _new_timeout(self) -> None:
+    def _reset_election_timer(self) -> None:
         self.elapsed = 0
-        self.timeout = self.rng.randint(ELECTION_TICKS, 2 * ELECTION_TICKS - 1)
+        self.election_timeout = self.rng.randint(ELECTION_TICKS, 2 * ELECTION_TICKS - 1)
 
-    def _now(self, message: Message) -> None:
-        self._out.now.append(message)
+    def _send(self, message: Message) -> None:
+        self._output.messages.append(message)
 
-    def _after(self, message: Message) -> None:
-        self._out.after.append(message)
+    def _send_after_persist(self, message: Message) -> None:
+        self._output.messages_after_persist.append(message)
--- a/eiderpin/store/records.py
+++ b/eiderpin/store/records.py
@@ -1,7 +1,7 @@
-"""What a member writes to its `eiderpin.durable` log, and reading it again. Pure.
+"""The records that a member writes to its `eiderpin.durable` log, and how they are read again, without I/O.
 
-An `Entry` replaces whatever was written of its index and after it. A snapshot is a head and its parts; they
-only stand at the beginning of a checkpoint, which is whole or not there.
+An `Entry` replaces all earlier records of its index and of later ones. A snapshot is a head and its parts.
+They only occur at the start of a checkpoint, which is either complete or absent.
 """
 
 from __future__ import annotations
@@ -14,13 +14,17 @@
 from eiderpin.durable.frames import BadFormat, Record
 from eiderpin.store.messages import Config, Entry, HardState, Snapshot
 
-VERSION = 1
-PART = 1 << 20
+RECORD_VERSION = 1
+SNAPSHOT_PART_BYTES = 1 << 20
 
 
 class MemberIdentity(msgspec.Struct, array_like=True, frozen=True):
-    """Whose log it is. `disk` is made when the directory is first written; `anchor` tells a copy of the
-    directory from itself (`identity.py`); `generation` counts how often the cluster was begun anew."""
+    """The member that a directory belongs to.
+
+    `disk` is an id that is created when the directory is first written. `anchor` distinguishes the directory
+    from a copy of it (`identity.py`). `generation` counts how often the cluster was started anew from a
+    snapshot.
+    """
 
     cluster: str
     name: str
@@ -29,8 +33,8 @@
     generation: int = 1
 
 
-class SnapHead(msgspec.Struct, array_like=True, frozen=True):
-    """What a snapshot is of, and how many bytes follow."""
+class SnapshotHead(msgspec.Struct, array_like=True, frozen=True):
+    """The start of a snapshot: what it covers, and how many bytes follow in its parts."""
 
     index: int
     term: int
@@ -38,73 +42,73 @@
     total: int
 
 
-class SnapPart(msgspec.Struct, array_like=True, frozen=True):
-    """Some bytes of a snapshot."""
+class SnapshotPart(msgspec.Struct, array_like=True, frozen=True):
+    """A part of the bytes of a snapshot."""
 
     data: bytes
 
 
-KINDS: dict[int, type[MemberIdentity | HardState | Entry | SnapHead | SnapPart]] = {
-    1: MemberIdentity, 2: HardState, 3: Entry, 4: SnapHead, 5: SnapPart,
+KINDS: dict[int, type[MemberIdentity | HardState | Entry | SnapshotHead | SnapshotPart]] = {
+    1: MemberIdentity, 2: HardState, 3: Entry, 4: SnapshotHead, 5: SnapshotPart,
 }  # fmt: skip
 _NUMBERS = {kind: number for number, kind in KINDS.items()}
 _DECODERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in KINDS.items()}
 
 
-def pack(said: MemberIdentity | HardState | Entry | SnapHead | SnapPart) -> Record:
-    """A record as the log takes it."""
-    return Record(_NUMBERS[type(said)], VERSION, msgspec.msgpack.encode(said))
+def encode_record(value: MemberIdentity | HardState | Entry | SnapshotHead | SnapshotPart) -> Record:
+    """Encode a record for the log."""
+    return Record(_NUMBERS[type(value)], RECORD_VERSION, msgspec.msgpack.encode(value))
 
 
-def whole(
-    born: MemberIdentity, hard: HardState, snapshot: Snapshot, entries: Iterable[Entry]
+def checkpoint_records(
+    identity: MemberIdentity, hard: HardState, snapshot: Snapshot, entries: Iterable[Entry]
 ) -> Iterator[Record]:
-    """All that a member holds, as a checkpoint."""
-    yield pack(born)
+    """Return the complete state of a member as the records of a checkpoint."""
+    yield encode_record(identity)
     if snapshot.index:
-        yield pack(SnapHead(snapshot.index, snapshot.term, snapshot.config, len(snapshot.data)))
-        for at in range(0, len(snapshot.data), PART):
-            yield pack(SnapPart(snapshot.data[at : at + PART]))
-    yield pack(hard)
+        yield encode_record(SnapshotHead(snapshot.index, snapshot.term, snapshot.config, len(snapshot.data)))
+        for at in range(0, len(snapshot.data), SNAPSHOT_PART_BYTES):
+            yield encode_record(SnapshotPart(snapshot.data[at : at + SNAPSHOT_PART_BYTES]))
+    yield encode_record(hard)
     for entry in entries:
-        yield pack(entry)
+        yield encode_record(entry)
 
 
 @dataclass(slots=True)
-class Restored:
-    """What a log says. Feed it its records in order; then `snapshot` may be asked for."""
+class RestoredState:
+    """The state that is read from a log: pass its records to `apply` in order, then use `snapshot`."""
 
-    born: MemberIdentity | None = None
+    identity: MemberIdentity | None = None
     hard: HardState = HardState()
     entries: list[Entry] = field(default_factory=list)
-    head: SnapHead = SnapHead(0, 0, Config(), 0)
-    parts: list[bytes] = field(default_factory=list)
+    snapshot_head: SnapshotHead = SnapshotHead(0, 0, Config(), 0)
+    snapshot_parts: list[bytes] = field(default_factory=list)
 
     def apply(self, record: Record) -> None:
-        """Raises `BadFormat`."""
+        """Apply one record. Raises `BadFormat`."""
         decoder = _DECODERS.get(record.kind)
-        if decoder is None or record.version > VERSION:
+        if decoder is None or record.version > RECORD_VERSION:
             raise BadFormat(
                 f"a record of kind {record.kind}, version {record.version}; this version of eiderpin reads "
-                f"kinds 1 to {max(KINDS)}, version {VERSION}"
+                f"kinds 1 to {max(KINDS)}, version {RECORD_VERSION}"
             )
         try:
-            said = decoder.decode(record.body)
+            decoded = decoder.decode(record.body)
         except msgspec.MsgspecError as error:
             raise BadFormat(f"a record of kind {record.kind} that makes no sense: {error}") from None
-        if isinstance(said, Entry):
-            self._entry(said)
-        elif isinstance(said, HardState):
-            self.hard = said
-        elif isinstance(said, MemberIdentity):
-            self.born = said
-        elif isinstance(said, SnapHead):
-            self.head, self.parts, self.entries = said, [], []
+        if isinstance(decoded, Entry):
+            self._apply_entry(decoded)
+        elif isinstance(decoded, HardState):
+            self.hard = decoded
+        elif isinstance(decoded, MemberIdentity):
+            self.identity = decoded
+        elif isinstance(decoded, SnapshotHead):
+            self.snapshot_head, self.snapshot_parts, self.entries = decoded, [], []
         else:
-            self.parts.append(said.data)
+            self.snapshot_parts.append(decoded.data)
 
-    def _entry(self, entry: Entry) -> None:
-        first = self.entries[0].index if self.entries else self.head.index + 1
+    def _apply_entry(self, entry: Entry) -> None:
+        first = self.entries[0].index if self.entries else self.snapshot_head.index + 1
         if entry.index < first or entry.index > first + len(self.entries):
             raise BadFormat(f"entry {entry.index} after {first + len(self.entries) - 1}")
         del self.entries[entry.index - first :]
@@ -112,8 +116,8 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """Raises `BadFormat`."""
-        data = b"".join(self.parts)
-        if len(data) != self.head.total:
-            raise BadFormat(f"a snapshot of {self.head.total} bytes, of which {len(data)} are there")
-        return Snapshot(self.head.index, self.head.term, self.head.config, data)
+        """The snapshot, if all of its parts have been read. Raises `BadFormat`."""
+        data = b"".join(self.snapshot_parts)
+        if len(data) != self.snapshot_head.total:
+            raise BadFormat(f"a snapshot of {self.snapshot_head.total} bytes, of which {len(data)} are there")
+        return Snapshot(self.snapshot_head.index, self.snapshot_head.term, self.snapshot_head.config, data)
--- a/tests/store_sim.py
+++ b/tests/store_sim.py
@@ -14,7 +14,7 @@
 from eiderpin.store.member import TICK_MS, Member, OutcomeUnknown
 from eiderpin.store.messages import Message
 from eiderpin.store.raft import NotLeader, Raft, Refused, Role
-from eiderpin.store.records import MemberIdentity, Restored
+from eiderpin.store.records import MemberIdentity, RestoredState
 from eiderpin.store.state import Answer, Compare, Open, Put, Transaction
 
 
@@ -73,8 +73,8 @@
         self.pending.clear()
         self.syncing = False
 
-    def restored(self) -> Restored:
-        found = Restored()
+    def restored(self) -> RestoredState:
+        found = RestoredState()
         for record in self.synced:
             found.apply(record)
         return found
@@ -126,7 +126,7 @@
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         if self.rng.random() < 0.5:
-            self.raft = type("OneByOne", (self.raft,), {"append_bytes": 1})  # an entry a message
+            self.raft = type("OneByOne", (self.raft,), {"max_append_bytes": 1})  # an entry a message
         self.queue: list[tuple[float, int, Callable[[], None], str, int]] = []
         self.number = 0
         names = [f"m{i}" for i in range(self.size)]
@@ -135,8 +135,10 @@
         for name in names:
             node = self.nodes[name] = Node(SimDisk(self, name), identity=disks.get(name, ""))
             born = MemberIdentity("sim", name, node.identity)
-            first = Member.first(born, voters, disks)
-            node.disk.synced = list(records.whole(born, first.hard, first.snapshot, first.entries))
+            first = Member.initial_state(born, voters, disks)
+            node.disk.synced = list(
+                records.checkpoint_records(born, first.hard, first.snapshot, first.entries)
+            )
             self.start(name)
 
     # -- time
@@ -183,9 +185,13 @@
         self.start(name)
 
     def empty(self, name: str) -> list[Record]:
-        return list(records.whole(MemberIdentity("sim", name), records.HardState(), records.Snapshot(), ()))
+        return list(
+            records.checkpoint_records(
+                MemberIdentity("sim", name), records.HardState(), records.Snapshot(), ()
+            )
+        )
 
-    def whole(self) -> bool:
+    def checkpoint_records(self) -> bool:
         """Whether three voters or more each stand on the disk that all of them know: one may be lost."""
         lead = self.leader()
         if not lead:
@@ -193,7 +199,9 @@
         raft = self.running_member(lead).raft
         config = raft.log.config
         held = all(n in self.nodes and self.nodes[n].identity == config.disks.get(n) for n in config.voters)
-        return held and len(config.voters) >= 3 and not config.learners and raft.log.config_at <= raft.commit
+        return (
+            held and len(config.voters) >= 3 and not config.learners and raft.log.config_index <= raft.commit
+        )
 
     def lose(self, name: str, older: bool) -> None:
         """Its disk is gone; it comes back with none, or with an old copy of it."""
@@ -248,7 +256,7 @@
         if self.now < node.frozen_until:
             self.schedule(node.frozen_until - self.now, lambda: self.arrive(message), message.to)
             return
-        node.member.hear(message, self.now)
+        node.member.receive(message, self.now)
         self.check_leader(message.to)
 
     # -- what must hold
@@ -329,10 +337,14 @@
         node = self.nodes[name]
         node.disk_fails = False
         if node.member is not None and node.member.disk_failed:
-            node.member.write_all()
+            node.member.write_checkpoint()
             node.disk.append([], lambda ok: None)
             member = node.member
-            node.disk.pending[-1] = (None, [], lambda ok: member.disk_is_back(self.now) if ok else None)
+            node.disk.pending[-1] = (
+                None,
+                [],
+                lambda ok: member.handle_disk_recovery(self.now) if ok else None,
+            )
 
 
 class Client:
@@ -517,11 +529,11 @@
         elif kind == "heal":
             world.cuts.clear()
             world.drops = 0.0
-        elif kind == "forget" and world.whole():
+        elif kind == "forget" and world.checkpoint_records():
             ForgottenPromise(world, rng)
         elif kind == "save" and name:
             world.nodes[name].saved = list(world.nodes[name].disk.synced)
-        elif kind in ("lose", "older") and world.whole():
+        elif kind in ("lose", "older") and world.checkpoint_records():
             name = rng.choice(sorted(world.nodes[world.leader()].member.raft.log.config.voters))  # type: ignore[union-attr]
             world.lose(name, kind == "older")
             back = rng.uniform(20.0, 900.0)
@@ -546,7 +558,7 @@
         elif kind == "stale" and world.leader():
             StaleRead(world, rng)
         elif kind == "transfer" and world.leader():
-            self.change(lambda raft: raft.transfer(rng.choice(sorted(raft.log.config.voters))))
+            self.change(lambda raft: raft.transfer_leadership(rng.choice(sorted(raft.log.config.voters))))
         elif kind == "change" and world.leader():
             self.change(self.members)
         self.again()
@@ -589,22 +601,22 @@
     def members(self, raft: Raft) -> None:
         """Grow by a learner, make it a voter, or let one go."""
         config, rng = raft.log.config, self.rng
-        if self.world.lossy and not self.world.whole():
+        if self.world.lossy and not self.world.checkpoint_records():
             return  # a lost disk is taken in again first: with another one removed, none might be left
         if config.learners:
             name = sorted(config.learners)[0]
             if name in config.learners and rng.random() < 0.7:
                 learners = {n: a for n, a in config.learners.items() if n != name}
-                raft.change(identity.members(config, {**config.voters, name: name}, learners))
+                raft.change_config(identity.with_members(config, {**config.voters, name: name}, learners))
             return
         if len(config.voters) > 3 or (len(config.voters) == 3 and rng.random() < 0.3):
             gone = rng.choice(sorted(config.voters))
             voters = {n: a for n, a in config.voters.items() if n != gone}
-            raft.change(identity.members(config, voters, {}))
+            raft.change_config(identity.with_members(config, voters, {}))
         else:
             name = f"j{self.joined}"
             self.joined += 1
-            raft.change(identity.members(config, config.voters, {name: name}))
+            raft.change_config(identity.with_members(config, config.voters, {name: name}))
             self.world.join(name)
 
 
@@ -754,13 +766,17 @@
     def told(self, answer: Answer | Exception) -> None:
         """It is acknowledged: from here on it may not be lost."""
         world, nodes = self.world, self.world.nodes
-        if not isinstance(answer, Answer) or nodes[self.leader].member is None or not world.whole():
+        if (
+            not isinstance(answer, Answer)
+            or nodes[self.leader].member is None
+            or not world.checkpoint_records()
+        ):
             return
         world.schedule(0.0, self.inject_fault)
 
     def inject_fault(self) -> None:
         world, nodes = self.world, self.world.nodes
-        if nodes[self.leader].member is None or not world.whole():
+        if nodes[self.leader].member is None or not world.checkpoint_records():
             return
         world.kill(self.leader)
         world.lose(self.other, self.rng.random() < 0.6)
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -27,7 +27,7 @@
     VoteRequest,
     VoteResponse,
 )
-from eiderpin.store.raft import HEARD, Raft, Refused, Role
+from eiderpin.store.raft import PRESENCE_TICKS, Raft, Refused, Role
 from eiderpin.store.records import MemberIdentity
 from tests.standins import wait_for
 from tests.test_command import eiderpin
@@ -47,59 +47,59 @@
 def asks(member: Raft) -> None:
     """It campaigns, past the pre-vote of one other."""
     member.campaign()
-    member.out()
+    member.take_output()
 
 
 # ---- rules ---------------------------------------------------------------------------------------------
 
 
 def test_a_cluster_begins_once_all_its_first_members_have_been_met_and_by_one_of_them() -> None:
-    first, second = (identity.Founding(n, DISKS[n], VOTERS) for n in "ab")
-    first.hear("b", "disk-b", False)
-    assert first.missing() == ["c"] and first.config() is None
-    first.hear("x", "disk-x", False)  # nobody that we know of
-    first.hear("c", "disk-c", False)
-    assert first.config() == Config(VOTERS, {}, DISKS)
+    first, second = (identity.ClusterBootstrap(n, DISKS[n], VOTERS) for n in "ab")
+    first.record_member("b", "disk-b", False)
+    assert first.missing_members() == ["c"] and first.initial_config() is None
+    first.record_member("x", "disk-x", False)  # nobody that we know of
+    first.record_member("c", "disk-c", False)
+    assert first.initial_config() == Config(VOTERS, {}, DISKS)
     for name in "ac":
-        second.hear(name, DISKS[name], False)
-    assert second.config() is None  # it is the first one's to do
+        second.record_member(name, DISKS[name], False)
+    assert second.initial_config() is None  # it is the first one's to do
 
 
 def test_whoever_has_a_log_keeps_the_others_from_beginning_a_second_cluster() -> None:
-    founding = identity.Founding("a", "disk-new", VOTERS)
-    founding.hear("b", "disk-b", False)
-    founding.hear("c", "disk-c", True)
-    assert founding.config() is None
+    founding = identity.ClusterBootstrap("a", "disk-new", VOTERS)
+    founding.record_member("b", "disk-b", False)
+    founding.record_member("c", "disk-c", True)
+    assert founding.initial_config() is None
 
 
 def test_a_lost_disk_is_taken_in_as_a_learner_once_the_old_one_is_silent() -> None:
     config, now = Config(VOTERS, {}, DISKS), 100
     said = {"b": "disk-new"}
-    assert identity.taken_in(config, said, {"b": now - 1}, now) is None  # two processes by one name
-    got = identity.taken_in(config, said, {"b": now - identity.SILENT}, now)
+    assert identity.admit_unknown_disk(config, said, {"b": now - 1}, now) is None  # two processes by one name
+    got = identity.admit_unknown_disk(config, said, {"b": now - identity.SILENCE_TICKS}, now)
     assert got is not None
     assert (set(got.voters), got.learners, got.disks["b"]) == ({"a", "c"}, {"b": "b"}, "disk-new")
     assert got.retired == ["disk-b"]
-    assert identity.taken_in(got, {"b": "disk-b"}, {}, now) is None  # it comes back no more
+    assert identity.admit_unknown_disk(got, {"b": "disk-b"}, {}, now) is None  # it comes back no more
 
 
 def test_a_disk_that_nothing_is_known_of_is_noted_and_the_last_voter_is_never_let_go() -> None:
     old = Config({"a": "a", "b": "b"}, {}, {"a": "disk-a"})
-    got = identity.taken_in(old, {"b": "disk-b", "x": "disk-x", "a": ""}, {}, 100)
+    got = identity.admit_unknown_disk(old, {"b": "disk-b", "x": "disk-x", "a": ""}, {}, 100)
     assert got == Config({"a": "a", "b": "b"}, {}, {"a": "disk-a", "b": "disk-b"})
-    assert identity.taken_in(Config({"a": "a"}, {}, {"a": "1"}), {"a": "2"}, {}, 100) is None
+    assert identity.admit_unknown_disk(Config({"a": "a"}, {}, {"a": "1"}), {"a": "2"}, {}, 100) is None
 
 
 def test_members_come_and_go_with_what_is_known_of_their_disks() -> None:
     config = Config(VOTERS, {}, DISKS, ["disk-old"])
-    got = identity.members(config, {"a": "a", "b": "b"}, {"d": "d"})
+    got = identity.with_members(config, {"a": "a", "b": "b"}, {"d": "d"})
     assert (got.disks, got.retired) == ({"a": "disk-a", "b": "disk-b"}, ["disk-old", "disk-c"])
 
 
 def test_a_copy_is_told_from_the_directory_itself() -> None:
     born = MemberIdentity("c", "a", "disk-a", "11:22")
-    assert identity.copied(born, "11:23") and identity.copied(born, "12:22")
-    assert not identity.copied(born, "11:22") and not identity.copied(MemberIdentity("c", "a"), "1:1")
+    assert identity.is_copy(born, "11:23") and identity.is_copy(born, "12:22")
+    assert not identity.is_copy(born, "11:22") and not identity.is_copy(MemberIdentity("c", "a"), "1:1")
 
 
 # ---- the machine ---------------------------------------------------------------------------------------
@@ -109,7 +109,7 @@
     a = raft("a")
     asks(a)
     a.step(VoteResponse("b", "a", 1, True, True, "disk-new"))
-    assert a.role is Role.ASKING
+    assert a.role is Role.PRE_CANDIDATE
     a.step(VoteResponse("b", "a", 1, True, True, "disk-b"))
     assert a.role is Role.CANDIDATE
     a.step(VoteResponse("b", "a", 1, True, False, "disk-new"))
@@ -123,7 +123,7 @@
     for _ in range(100):
         copy.tick()
     assert copy.role is Role.FOLLOWER and copy.term == 0
-    assert not [m for m in copy.out().after if isinstance(m, VoteRequest)]
+    assert not [m for m in copy.take_output().messages_after_persist if isinstance(m, VoteRequest)]
 
 
 def test_a_copy_applies_nothing_by_what_its_leader_knows_of_the_lost_disk() -> None:
@@ -140,12 +140,12 @@
 def test_a_disk_that_was_replaced_is_told_so_and_nobody_else() -> None:
     a = raft("a", config=Config(VOTERS, {}, {**DISKS, "b": "disk-new"}, ["disk-b"]))
     a.step(VoteResponse("b", "a", 0, False, True, "disk-b"))
-    (gone,) = [m for m in a.out().now if isinstance(m, NotAMember)]
+    (gone,) = [m for m in a.take_output().messages if isinstance(m, NotAMember)]
     assert gone.disk == "disk-b"
     for disk, meant in (("disk-b", True), ("disk-new", False)):
         b = raft("b", disk)
         b.step(NotAMember("a", "b", 0, 9, "disk-b"))
-        assert b.gone is meant
+        assert b.notified_removed is meant
 
 
 def test_nobody_is_let_go_where_too_few_of_the_rest_are_there() -> None:
@@ -153,14 +153,14 @@
     a = raft("a")
     a.campaign(force=True)
     a.step(VoteResponse("b", "a", 1, True, False, "disk-b"))
-    a.persisted(2, 1)
+    a.record_persisted(2, 1)
     a.step(AppendResponse("b", "a", 1, True, 2, disk="disk-b"))
     assert a.role is Role.LEADER and a.commit == 2
-    a.ticks += HEARD
+    a.ticks += PRESENCE_TICKS
     a.step(AppendResponse("b", "a", 1, True, 2, disk="disk-b"))
     with pytest.raises(Refused, match="only a is there"):
-        a.change(identity.members(a.log.config, {"a": "a", "c": "c"}, {}))
-    a.change(identity.members(a.log.config, {"a": "a", "b": "b"}, {}))
+        a.change_config(identity.with_members(a.log.config, {"a": "a", "c": "c"}, {}))
+    a.change_config(identity.with_members(a.log.config, {"a": "a", "b": "b"}, {}))
 
 
 # ---- three processes -----------------------------------------------------------------------------------
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -33,7 +33,7 @@
     VoteRequest,
     VoteResponse,
 )
-from eiderpin.store.raft import ELECTION_TICKS, NotLeader, Out, Raft, Refused, Role
+from eiderpin.store.raft import ELECTION_TICKS, NotLeader, Raft, RaftOutput, Refused, Role
 
 ABC = Config({n: n for n in "abc"})
 
@@ -49,11 +49,11 @@
     return Raft(name, hard, Snapshot(), first() if entries is None else entries, random.Random(name))
 
 
-def settled(raft: Raft, out: Out) -> list[Message]:
+def settled(raft: Raft, out: RaftOutput) -> list[Message]:
     """All it sends, once its disk has what it was to have."""
     if out.entries:
-        raft.persisted(out.entries[-1].index, out.entries[-1].term)
-    return out.now + out.after
+        raft.record_persisted(out.entries[-1].index, out.entries[-1].term)
+    return out.messages + out.messages_after_persist
 
 
 class Net:
@@ -65,7 +65,7 @@
 
     def run(self) -> None:
         for _ in range(200):
-            waiting = [m for r in self.members.values() for m in settled(r, r.out())]
+            waiting = [m for r in self.members.values() for m in settled(r, r.take_output())]
             if not waiting:
                 return
             for m in waiting:
@@ -84,28 +84,30 @@
     def test_a_vote_is_told_after_it_is_on_disk(self) -> None:
         b = member("b")
         b.step(VoteRequest("a", "b", 1, 1, 0))
-        out = b.out()
-        self.assertEqual(out.hard, HardState(1, "a"))
-        self.assertEqual((out.now, out.after), ([], [VoteResponse("b", "a", 1, True)]))
+        out = b.take_output()
+        self.assertEqual(out.hard_state, HardState(1, "a"))
+        self.assertEqual((out.messages, out.messages_after_persist), ([], [VoteResponse("b", "a", 1, True)]))
 
     def test_one_vote_a_term_also_after_a_restart(self) -> None:
         b = member("b", HardState(1, "a"))
         b.step(VoteRequest("c", "b", 1, 9, 0))
-        self.assertEqual(b.out().after, [VoteResponse("b", "c", 1, False)])
+        self.assertEqual(b.take_output().messages_after_persist, [VoteResponse("b", "c", 1, False)])
         b.step(VoteRequest("a", "b", 1, 9, 0))
-        self.assertEqual(b.out().after, [VoteResponse("b", "a", 1, True)])
+        self.assertEqual(b.take_output().messages_after_persist, [VoteResponse("b", "a", 1, True)])
 
     def test_no_vote_for_an_older_log(self) -> None:
         b = member("b", HardState(2, ""), [*first(), Entry(2, 2, 1, b"x")])
         for last, term, granted in ((1, 0, False), (9, 1, False), (2, 2, True)):
             b.step(VoteRequest("a", "b", 3, last, term))
-            self.assertEqual(b.out().after[-1], VoteResponse("b", "a", 3, granted))
+            self.assertEqual(b.take_output().messages_after_persist[-1], VoteResponse("b", "a", 3, granted))
 
     def test_a_pre_vote_changes_nothing(self) -> None:
         b = member("b")
         b.step(VoteRequest("a", "b", 1, 1, 0, pre=True))
-        out = b.out()
-        self.assertEqual((out.hard, out.after), (None, [VoteResponse("b", "a", 1, True, True)]))
+        out = b.take_output()
+        self.assertEqual(
+            (out.hard_state, out.messages_after_persist), (None, [VoteResponse("b", "a", 1, True, True)])
+        )
 
     def test_who_was_cut_off_does_not_unseat_a_leader(self) -> None:
         net = Net("a", "b", "c")
@@ -113,8 +115,8 @@
         c, net.cut = net.members["c"], {"c"}
         for _ in range(5 * ELECTION_TICKS):
             c.tick()
-            c.out()
-        self.assertEqual((c.term, c.role), (1, Role.ASKING))
+            c.take_output()
+        self.assertEqual((c.term, c.role), (1, Role.PRE_CANDIDATE))
         net.cut = set()
         c.campaign()
         net.run()
@@ -128,7 +130,7 @@
         a = net.elect("a")
         for _ in range(2 * ELECTION_TICKS):
             a.tick()
-            a.out()
+            a.take_output()
         self.assertIs(a.role, Role.FOLLOWER)
         with self.assertRaises(NotLeader):
             a.propose([b"x"])
@@ -137,16 +139,16 @@
         net = Net("a", "b", "c")
         a = net.elect("a")
         a.propose([b"x"])
-        a.transfer("b")
+        a.transfer_leadership("b")
         net.run()
         self.assertEqual([r.leader for r in net.members.values()], ["b"] * 3)
         with self.assertRaisesRegex(Refused, "no other voter"):
-            net.members["b"].transfer("z")
+            net.members["b"].transfer_leadership("z")
 
     def test_a_transfer_to_a_dead_one_is_given_up(self) -> None:
         net = Net("a", "b", "c")
         a, net.cut = net.elect("a"), {"c"}
-        a.transfer("c")
+        a.transfer_leadership("c")
         with self.assertRaises(NotLeader):
             a.propose([b"x"])
         for _ in range(ELECTION_TICKS):
@@ -159,11 +161,11 @@
     def test_a_leader_counts_itself_once_it_is_on_its_own_disk(self) -> None:
         a = member("a", entries=first(Config({"a": "a"})))
         a.campaign()
-        out = a.out()
+        out = a.take_output()
         self.assertEqual((a.role, a.commit), (Role.LEADER, 0))
-        a.persisted(out.entries[-1].index, out.entries[-1].term)
+        a.record_persisted(out.entries[-1].index, out.entries[-1].term)
         self.assertEqual(a.commit, 2)
-        self.assertEqual([e.index for e in a.out().committed], [1, 2])
+        self.assertEqual([e.index for e in a.take_output().committed], [1, 2])
 
     def test_an_old_append_does_not_shorten_the_log(self) -> None:
         b = member("b")
@@ -171,30 +173,34 @@
         b.step(Append("a", "b", 1, 1, 0, rows, 0))
         b.step(Append("a", "b", 1, 1, 0, rows[:1], 0))
         self.assertEqual(b.log.last, 4)
-        self.assertEqual([m.index for m in b.out().after if isinstance(m, AppendResponse)], [4, 2])
+        self.assertEqual(
+            [m.index for m in b.take_output().messages_after_persist if isinstance(m, AppendResponse)], [4, 2]
+        )
 
     def test_a_conflict_is_cut_and_what_follows_it_goes(self) -> None:
         b = member("b", HardState(1, ""), [*first(), Entry(2, 1, 1, b"x"), Entry(3, 1, 1, b"y")])
         b.step(Append("c", "b", 2, 1, 0, [Entry(2, 2, 1, b"z")], 2))
-        out = b.out()
+        out = b.take_output()
         self.assertEqual(([e.data for e in out.entries], b.log.last, b.commit), ([b"z"], 2, 2))
         self.assertEqual([e.index for e in out.committed], [1])  # its own disk has no more of it yet
-        b.persisted(2, 1)  # of what was replaced
-        self.assertEqual(b.out().committed, [])
-        b.persisted(2, 2)
-        self.assertEqual([e.data for e in b.out().committed], [b"z"])
+        b.record_persisted(2, 1)  # of what was replaced
+        self.assertEqual(b.take_output().committed, [])
+        b.record_persisted(2, 2)
+        self.assertEqual([e.data for e in b.take_output().committed], [b"z"])
 
     def test_a_mismatch_is_told_with_a_hint_that_skips_terms(self) -> None:
         rows = [Entry(i, 1, 1) for i in range(2, 50)]
         b = member("b", HardState(3, ""), [*first(), *rows])
         b.step(Append("a", "b", 3, 60, 3, [], 0))
-        self.assertEqual(b.out().after, [AppendResponse("b", "a", 3, False, 60, 49, 1)])
+        self.assertEqual(
+            b.take_output().messages_after_persist, [AppendResponse("b", "a", 3, False, 60, 49, 1)]
+        )
 
     def test_a_stale_leader_hears_of_the_newer_term(self) -> None:
         b = member("b", HardState(5, ""))
         for m in (Append("a", "b", 2, 1, 0, [], 0), Heartbeat("a", "b", 2, 0, 1)):
             b.step(m)
-            self.assertEqual(b.out().after, [AppendResponse("b", "a", 5, False, 0)])
+            self.assertEqual(b.take_output().messages_after_persist, [AppendResponse("b", "a", 5, False, 0)])
 
     def test_a_snapshot_in_parts_lost_repeated_and_replaced(self) -> None:
         b = member("b", entries=[])
@@ -202,29 +208,36 @@
             SnapshotChunk("a", "b", 1, 9, 1, ABC, at, 6, data) for at, data in ((0, b"abc"), (3, b"def"))
         ]
         b.step(parts[1])
-        self.assertEqual(b.out().after, [SnapshotChunkResponse("b", "a", 1, 9, 0)])
+        self.assertEqual(b.take_output().messages_after_persist, [SnapshotChunkResponse("b", "a", 1, 9, 0)])
         for part in (parts[0], parts[0]):
             b.step(part)
-        self.assertEqual([m.offset for m in b.out().after if isinstance(m, SnapshotChunkResponse)], [3, 3])
+        self.assertEqual(
+            [
+                m.offset
+                for m in b.take_output().messages_after_persist
+                if isinstance(m, SnapshotChunkResponse)
+            ],
+            [3, 3],
+        )
         b.step(parts[1])
-        out = b.out()
+        out = b.take_output()
         self.assertEqual(out.snapshot, Snapshot(9, 1, ABC, b"abcdef"))
         self.assertEqual((b.commit, b.log.base, b.log.config), (9, 9, ABC))
         b.step(parts[0])  # again: it has it
-        self.assertIn(AppendResponse("b", "a", 1, True, 9), b.out().after)
+        self.assertIn(AppendResponse("b", "a", 1, True, 9), b.take_output().messages_after_persist)
 
     def test_one_whose_disk_fails_neither_leads_nor_campaigns_nor_votes(self) -> None:
         net = Net("a", "b", "c")
         a = net.elect("a")
-        a.give_up()
+        a.stop_leading()
         for _ in range(3 * ELECTION_TICKS):
             a.tick()
         self.assertIs(a.role, Role.FOLLOWER)
         a.step(TimeoutNow("b", "a", 1))
         self.assertIs(a.role, Role.FOLLOWER)
-        a.out()
+        a.take_output()
         a.step(VoteRequest("b", "a", 9, 99, 9))
-        self.assertEqual(a.out().after, [VoteResponse("a", "b", 9, False)])
+        self.assertEqual(a.take_output().messages_after_persist, [VoteResponse("a", "b", 9, False)])
 
 
 class Members(unittest.TestCase):
@@ -236,63 +249,63 @@
             (Config({**ABC.voters, "d": "d"}), "catch up"),
         ):  # fmt: skip
             with self.assertRaisesRegex(Refused, why):
-                a.change(config)
-        a.change(Config(ABC.voters, {"d": "d"}))
+                a.change_config(config)
+        a.change_config(Config(ABC.voters, {"d": "d"}))
         with self.assertRaisesRegex(Refused, "under way"):
-            a.change(ABC)
+            a.change_config(ABC)
         with self.assertRaises(NotLeader):
-            net.members["b"].change(ABC)
+            net.members["b"].change_config(ABC)
 
     def test_a_leader_that_has_just_begun_changes_nobody(self) -> None:
         net = Net("a", "b", "c")
         a, net.cut = net.members["a"], {"c"}
         a.campaign(force=True)
-        settled(a, a.out())
+        settled(a, a.take_output())
         net.members["b"].step(VoteRequest("a", "b", 1, 1, 0, force=True))
-        for m in net.members["b"].out().after:
+        for m in net.members["b"].take_output().messages_after_persist:
             a.step(m)
         self.assertIs(a.role, Role.LEADER)
         with self.assertRaisesRegex(Refused, "under way"):
-            a.change(Config({"a": "a", "b": "b"}))
+            a.change_config(Config({"a": "a", "b": "b"}))
         a.commit = 1  # by an earlier leader
         with self.assertRaisesRegex(Refused, "has just begun"):
-            a.change(Config({"a": "a", "b": "b"}))
+            a.change_config(Config({"a": "a", "b": "b"}))
 
     def test_a_leader_that_removes_itself_hands_over(self) -> None:
         net = Net("a", "b", "c")
         a = net.elect("a")
-        a.change(Config({"b": "b", "c": "c"}))
+        a.change_config(Config({"b": "b", "c": "c"}))
         net.run()
         self.assertIs(a.role, Role.FOLLOWER)
-        self.assertTrue(a.removed)
+        self.assertTrue(a.is_removed)
         self.assertIn(net.members["b"].leader, ("b", "c"))
         for _ in range(5 * ELECTION_TICKS):
             a.tick()
-        self.assertEqual(a.out().after, [])  # it campaigns no more
+        self.assertEqual(a.take_output().messages_after_persist, [])  # it campaigns no more
 
     def test_a_removed_one_that_does_not_know_it_is_told(self) -> None:
         net = Net("a", "b", "c")
         a, net.cut = net.elect("a"), {"c"}
-        a.change(Config({"a": "a", "b": "b"}))
+        a.change_config(Config({"a": "a", "b": "b"}))
         net.run()
         net.cut = set()
         c, term = net.members["c"], a.term
         c.campaign()
         net.run()
-        self.assertTrue(c.removed)
+        self.assertTrue(c.is_removed)
         self.assertEqual((a.role, a.term), (Role.LEADER, term))
         c.campaign()
-        self.assertEqual(c.out().after, [])
+        self.assertEqual(c.take_output().messages_after_persist, [])
 
     def test_one_with_a_newer_log_than_ours_is_no_stranger(self) -> None:
         b = member("b")
         b.commit = 1
         b.step(VoteRequest("d", "b", 2, 9, 1))
-        self.assertEqual(b.out().after, [VoteResponse("b", "d", 2, True)])
+        self.assertEqual(b.take_output().messages_after_persist, [VoteResponse("b", "d", 2, True)])
         b = member("b")
         b.commit = 1
         b.step(VoteRequest("d", "b", 2, 0, 0))
-        self.assertEqual(b.out().after, [NotAMember("b", "d", 0, 1)])
+        self.assertEqual(b.take_output().messages_after_persist, [NotAMember("b", "d", 0, 1)])
 
     def test_every_change_of_members_is_safe(self) -> None:
         found = check_safety(membership(one_at_a_time=True))
@@ -373,19 +386,21 @@
 
 class OnDisk(unittest.TestCase):
     def test_what_is_written_reads_again(self) -> None:
-        snapshot = Snapshot(4, 2, ABC, b"x" * (records.PART + 5))
+        snapshot = Snapshot(4, 2, ABC, b"x" * (records.SNAPSHOT_PART_BYTES + 5))
         entries = [Entry(5, 2, 1, b"a"), Entry(6, 3, 2, ABC.pack())]
-        found = records.Restored()
-        for record in records.whole(records.MemberIdentity("c", "a"), HardState(3, "b"), snapshot, entries):
+        found = records.RestoredState()
+        for record in records.checkpoint_records(
+            records.MemberIdentity("c", "a"), HardState(3, "b"), snapshot, entries
+        ):
             found.apply(record)
         self.assertEqual((found.snapshot, found.entries, found.hard), (snapshot, entries, HardState(3, "b")))
-        found.apply(records.pack(Entry(6, 4, 1, b"new")))
+        found.apply(records.encode_record(Entry(6, 4, 1, b"new")))
         self.assertEqual([e.term for e in found.entries], [2, 4])
-        for bad in (records.pack(Entry(9, 4, 1)), records.pack(Entry(4, 4, 1)), Record(99, 1, b""),
-                    Record(2, 2, b"\x92\1\xa0"), Record(2, 1, b"\xc1")):  # fmt: skip
+        for bad in (records.encode_record(Entry(9, 4, 1)), records.encode_record(Entry(4, 4, 1)),
+                    Record(99, 1, b""), Record(2, 2, b"\x92\1\xa0"), Record(2, 1, b"\xc1")):  # fmt: skip
             with self.assertRaises(BadFormat):
                 found.apply(bad)
-        found.parts.pop()
+        found.snapshot_parts.pop()
         with self.assertRaises(BadFormat):
             _ = found.snapshot
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -26,11 +26,11 @@
         ]
         for what, voters, learners, standbys in cases:
             with self.subTest(what):
-                self.assertEqual(identity.members(config, voters, learners).standbys, standbys)
+                self.assertEqual(identity.with_members(config, voters, learners).standbys, standbys)
 
     def test_a_standby_that_lost_its_disk_stays_one(self) -> None:
         config = Config(VOTERS, {"s": "s"}, {**VOTERS, "s": "disk-s"}, [], ["s"])
-        taken = identity.taken_in(config, {"s": "disk-new"}, {}, 100)
+        taken = identity.admit_unknown_disk(config, {"s": "disk-new"}, {}, 100)
         assert taken is not None
         wanted = replace(config, disks={**VOTERS, "s": "disk-new"}, retired=["disk-s"])
         self.assertEqual(taken, wanted)
--- a/tests/test_store_sim.py
+++ b/tests/test_store_sim.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from eiderpin.store.messages import HardState, Heartbeat, Message
-from eiderpin.store.raft import Out, Raft
+from eiderpin.store.raft import Raft, RaftOutput
 from tests.store_sim import InvariantViolated, Op, linearizable, play
 
 SEEDS = 30  # in each of the parts that may be played side by side
@@ -44,32 +44,32 @@
 class VoteForgotten(Raft):
     """The vote does not come to the disk."""
 
-    def out(self) -> Out:
-        out = super().out()
-        if out.hard is not None:
-            out.hard = HardState(out.hard.term, "")
+    def take_output(self) -> RaftOutput:
+        out = super().take_output()
+        if out.hard_state is not None:
+            out.hard_state = HardState(out.hard_state.term, "")
         return out
 
 
 class CommitsByCount(Raft):
     """An entry of an earlier term counts as committed once a majority has it."""
 
-    def _may_commit(self, index: int) -> bool:
+    def _can_commit(self, index: int) -> bool:
         return True
 
 
 class ReadsAlone(Raft):
     """A leader answers reads without asking whether it still leads."""
 
-    def _read_needs_round(self) -> bool:
+    def _read_needs_quorum(self) -> bool:
         return False
 
 
 class OldIdentityVotes(Raft):
     """Whoever answers by a member's name counts as that member, whatever disk it is on."""
 
-    def _is_itself(self, name: str, disk: str) -> bool:
-        super()._is_itself(name, disk)
+    def _is_known_disk(self, name: str, disk: str) -> bool:
+        super()._is_known_disk(name, disk)
         return True
 
 
