--- a/tests/store_sim.py
+++ b/tests/store_sim.py
@@ -1,5 +1,8 @@
-"""A cluster of real members, with clients, disks and a network, in one process and in virtual time. All that
-happens follows from one seed, so a failure replays to the byte."""
+"""A simulated cluster: real members, with simulated clients, disks and network, in one process and in virtual
+time.
+
+Everything that happens is derived from one seed, so a failure can be replayed exactly.
+"""
 
 from __future__ import annotations
 
@@ -19,140 +22,145 @@
 
 
 class InvariantViolated(AssertionError):
-    """A promise did not hold."""
+    """An invariant of the store does not hold."""
 
 
 class SimDisk:
-    """What is written is lost in a crash until a sync, a part of it perhaps not. It may be slow, or fail."""
+    """A disk. Writes may be lost, wholly or in part, until they are synced; it may be slow or fail."""
 
     def __init__(self, world: SimulatedCluster, name: str) -> None:
         self.world, self.name = world, name
         self.synced: list[Record] = []
         self.pending: list[tuple[list[Record] | None, list[Record], Callable[[bool], None]]] = []
-        self.delay = (0.2, 4.0)
+        self.delay_ms = (0.2, 4.0)
         self.syncing = False
 
-    def append(self, said: list[Record], told: Callable[[bool], None]) -> None:
-        self.pending.append((None, said, told))
-        self.sync_soon()
+    def append(self, new_records: list[Record], on_done: Callable[[bool], None]) -> None:
+        self.pending.append((None, new_records, on_done))
+        self.schedule_sync()
 
-    def checkpoint(self, all_of_it: Iterable[Record]) -> None:
-        self.pending.append((list(all_of_it), [], lambda ok: None))
-        self.sync_soon()
+    def checkpoint(self, all_records: Iterable[Record]) -> None:
+        self.pending.append((list(all_records), [], lambda ok: None))
+        self.schedule_sync()
 
-    def sync_soon(self) -> None:
+    def schedule_sync(self) -> None:
         if not self.syncing:
             self.syncing = True
-            self.world.schedule(self.world.rng.uniform(*self.delay), self.sync, self.name)
+            self.world.schedule(self.world.rng.uniform(*self.delay_ms), self.sync, self.name)
 
     def sync(self) -> None:
         self.syncing = False
         group, self.pending = self.pending, []
         node = self.world.nodes[self.name]
         if node.disk_fails:
-            for _, _, told in group:
-                told(False)
+            for _, _, on_done in group:
+                on_done(False)
             return
         for item in group:
-            self._take(item)
-        for _, _, told in group:
-            told(True)
+            self._write(item)
+        for _, _, on_done in group:
+            on_done(True)
         if node.member is not None:
             node.member.flush(self.world.now)
 
-    def _take(self, item: tuple[list[Record] | None, list[Record], Any]) -> None:
+    def _write(self, item: tuple[list[Record] | None, list[Record], Any]) -> None:
         if item[0] is not None:
             self.synced = list(item[0])
         self.synced += item[1]
 
     def crash(self) -> None:
-        """Of what was not synced, as much stays as the disk had got to, and perhaps a part of a group."""
+        """Keep a random number of the writes that were not synced, and lose the rest."""
         rng = self.world.rng
         for item in self.pending[: rng.randint(0, len(self.pending))]:
-            self._take(item)
+            self._write(item)
         self.pending.clear()
         self.syncing = False
 
     def restored(self) -> RestoredState:
-        found = RestoredState()
+        restored = RestoredState()
         for record in self.synced:
-            found.apply(record)
-        return found
+            restored.apply(record)
+        return restored
 
 
 @dataclass
 class Node:
+    """A place for a member: its disk, and the member while it runs."""
+
     disk: SimDisk
     member: Member | None = None
-    identity: str = ""  # of its disk
-    saved: list[Record] | None = None  # a copy of what was on it once
-    life: int = 0
+    disk_id: str = ""
+    saved_records: list[Record] | None = None  # an earlier copy of the disk
+    incarnation: int = 0
     disk_fails: bool = False
     frozen_until: float = 0.0
 
 
 @dataclass
-class Op:
-    """One client's operation; `ended` is infinite where nobody knows what came of it."""
+class ClientOperation:
+    """An operation of a client; `ended_ms` is infinite if its outcome is unknown."""
 
     kind: str
     key: str
-    begun: float
+    started_ms: float
     value: bytes = b""
     expected: bytes | None = None
-    ended: float = float("inf")
+    ended_ms: float = float("inf")
     result: Any = None
 
 
 @dataclass
 class SimulatedCluster:
+    """The members, network and virtual time (ms) of one simulation, and what was observed of them."""
+
     seed: int
     size: int = 3
-    raft: type[Raft] = Raft
+    raft_class: type[Raft] = Raft
     snapshot_every: int = 40
-    lossy: bool = False  # disks are lost, or put back from old copies
+    loses_disks: bool = False  # whether disks are lost, or replaced by old copies
     now: float = 0.0
     nodes: dict[str, Node] = field(default_factory=dict)
     cuts: set[tuple[str, str]] = field(default_factory=set)
-    history: list[Op] = field(default_factory=list)
+    history: list[ClientOperation] = field(default_factory=list)
     applied: dict[int, tuple[int, bytes]] = field(default_factory=dict)
-    applied_in: dict[int, int] = field(default_factory=dict)
+    applied_term: dict[int, int] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
-    drops: float = 0.0
-    losses: int = 0
+    drop_rate: float = 0.0
+    disk_losses: int = 0
     events: int = 0
     trace: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         if self.rng.random() < 0.5:
-            self.raft = type("OneByOne", (self.raft,), {"max_append_bytes": 1})  # an entry a message
+            # One entry in each message.
+            self.raft_class = type("OneByOne", (self.raft_class,), {"max_append_bytes": 1})
         self.queue: list[tuple[float, int, Callable[[], None], str, int]] = []
-        self.number = 0
+        self.scheduled = 0
         names = [f"m{i}" for i in range(self.size)]
         voters = {n: n for n in names}
-        disks = {n: f"{n}#0" for n in names} if self.lossy else {}
+        disks = {n: f"{n}#0" for n in names} if self.loses_disks else {}
         for name in names:
-            node = self.nodes[name] = Node(SimDisk(self, name), identity=disks.get(name, ""))
-            born = MemberIdentity("sim", name, node.identity)
-            first = Member.initial_state(born, voters, disks)
+            node = self.nodes[name] = Node(SimDisk(self, name), disk_id=disks.get(name, ""))
+            member_identity = MemberIdentity("sim", name, node.disk_id)
+            initial = Member.initial_state(member_identity, voters, disks)
             node.disk.synced = list(
-                records.checkpoint_records(born, first.hard, first.snapshot, first.entries)
+                records.checkpoint_records(member_identity, initial.hard, initial.snapshot, initial.entries)
             )
             self.start(name)
 
     # -- time
 
-    def schedule(self, ms: float, call: Callable[[], None], name: str = "") -> None:
-        """`name`: whose event it is; it is forgotten when that one is killed."""
-        self.number += 1
-        life = self.nodes[name].life if name else 0
-        heapq.heappush(self.queue, (self.now + ms, self.number, call, name, life))
+    def schedule(self, delay_ms: float, call: Callable[[], None], name: str = "") -> None:
+        """Call `call` after a delay; if it belongs to member `name`, only while that one keeps running."""
+        self.scheduled += 1
+        incarnation = self.nodes[name].incarnation if name else 0
+        heapq.heappush(self.queue, (self.now + delay_ms, self.scheduled, call, name, incarnation))
 
     def run(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, call, name, life = heapq.heappop(self.queue)
-            if name and self.nodes[name].life != life:
+            self.now, _, call, name, incarnation = heapq.heappop(self.queue)
+            if name and self.nodes[name].incarnation != incarnation:
                 continue
             self.events += 1
             call()
@@ -166,65 +174,72 @@
         rng = random.Random(self.rng.random())
         world = self
 
-        class Watched(Member):
+        class CheckedMember(Member):
             def _apply(self, entry: Any) -> None:
                 world.check_applied(name, entry.index, entry.term, entry.data)
                 super()._apply(entry)
 
-        node.member = Watched(
-            MemberIdentity("sim", name, node.identity), restored, node.disk, lambda m: self.send(m), rng,
-            self.now, self.raft,
+        node.member = CheckedMember(
+            MemberIdentity("sim", name, node.disk_id), restored, node.disk, lambda m: self.send(m), rng,
+            self.now, self.raft_class,
             self.snapshot_every, 10,
         )  # fmt: skip
-        self.ticks(name)
+        self.run_ticks(name)
 
-    def join(self, name: str) -> None:
-        """A new member with an empty log."""
-        node = self.nodes[name] = Node(SimDisk(self, name), identity=f"{name}#0" if self.lossy else "")
-        node.disk.synced = self.empty(name)
+    def add_node(self, name: str) -> None:
+        """Start a new member with an empty log."""
+        node = self.nodes[name] = Node(SimDisk(self, name), disk_id=f"{name}#0" if self.loses_disks else "")
+        node.disk.synced = self.empty_disk(name)
         self.start(name)
 
-    def empty(self, name: str) -> list[Record]:
+    def empty_disk(self, name: str) -> list[Record]:
         return list(
             records.checkpoint_records(
                 MemberIdentity("sim", name), records.HardState(), records.Snapshot(), ()
             )
         )
 
-    def checkpoint_records(self) -> bool:
-        """Whether three voters or more each stand on the disk that all of them know: one may be lost."""
-        lead = self.leader()
-        if not lead:
+    def can_lose_a_disk(self) -> bool:
+        """Return whether at least three voters run on their configured disks, so that one may be lost."""
+        leader = self.leader()
+        if not leader:
             return False
-        raft = self.running_member(lead).raft
+        raft = self.running_member(leader).raft
         config = raft.log.config
-        held = all(n in self.nodes and self.nodes[n].identity == config.disks.get(n) for n in config.voters)
+        on_configured_disks = all(
+            n in self.nodes and self.nodes[n].disk_id == config.disks.get(n) for n in config.voters
+        )
         return (
-            held and len(config.voters) >= 3 and not config.learners and raft.log.config_index <= raft.commit
+            on_configured_disks
+            and len(config.voters) >= 3
+            and not config.learners
+            and raft.log.config_index <= raft.commit
         )
 
-    def lose(self, name: str, older: bool) -> None:
-        """Its disk is gone; it comes back with none, or with an old copy of it."""
+    def lose_disk(self, name: str, older: bool) -> None:
+        """Replace the disk of a member by an empty one, or by the earlier copy, and stop the member."""
         node = self.nodes[name]
         if node.member is not None:
             self.kill(name)
-        self.losses += 1
-        node.identity = f"{name}#{self.losses}"
-        node.disk.synced = list(node.saved) if older and node.saved is not None else self.empty(name)
-        node.saved = None
+        self.disk_losses += 1
+        node.disk_id = f"{name}#{self.disk_losses}"
+        node.disk.synced = (
+            list(node.saved_records) if older and node.saved_records is not None else self.empty_disk(name)
+        )
+        node.saved_records = None
 
-    def ticks(self, name: str) -> None:
+    def run_ticks(self, name: str) -> None:
         node = self.nodes[name]
         if node.member is not None:
             if self.now >= node.frozen_until:
                 node.member.tick(self.now)
                 self.check_leader(name)
-            self.schedule(TICK_MS * self.rng.uniform(0.9, 1.1), lambda: self.ticks(name), name)
+            self.schedule(TICK_MS * self.rng.uniform(0.9, 1.1), lambda: self.run_ticks(name), name)
 
     def kill(self, name: str) -> None:
         node = self.nodes[name]
         node.member = None
-        node.life += 1
+        node.incarnation += 1
         node.disk.crash()
 
     def live(self) -> list[str]:
@@ -243,29 +258,29 @@
 
     def send(self, message: Message) -> None:
         rng, to = self.rng, message.to
-        if to not in self.nodes or (message.frm, to) in self.cuts or rng.random() < self.drops:
+        if to not in self.nodes or (message.frm, to) in self.cuts or rng.random() < self.drop_rate:
             return
         for _ in range(2 if rng.random() < 0.02 else 1):
             delay = rng.uniform(0.5, 8.0) if rng.random() < 0.95 else rng.uniform(8.0, 200.0)
-            self.schedule(delay, lambda: self.arrive(message), to)
+            self.schedule(delay, lambda: self.deliver(message), to)
 
-    def arrive(self, message: Message) -> None:
+    def deliver(self, message: Message) -> None:
         node = self.nodes[message.to]
         if node.member is None:
             return
         if self.now < node.frozen_until:
-            self.schedule(node.frozen_until - self.now, lambda: self.arrive(message), message.to)
+            self.schedule(node.frozen_until - self.now, lambda: self.deliver(message), message.to)
             return
         node.member.receive(message, self.now)
         self.check_leader(message.to)
 
-    # -- what must hold
+    # -- invariants
 
     def check_applied(self, name: str, index: int, term: int, data: bytes) -> None:
-        """State-machine safety: one command for one index, for ever."""
+        """State-machine safety: all members apply the same command at an index."""
         known = self.applied.setdefault(index, (term, data))
         at = self.running_member(name).raft.term  # it was committed in that term or before
-        self.applied_in[index] = min(at, self.applied_in.get(index, at))
+        self.applied_term[index] = min(at, self.applied_term.get(index, at))
         if known != (term, data):
             raise InvariantViolated(f"{name} applies {term, data} as entry {index}, another applied {known}")
 
@@ -277,63 +292,63 @@
         if first != name:
             raise InvariantViolated(f"{first} and {name} both lead in term {raft.term}")
         if raft.log.last_term == raft.term and raft.log.term(raft.log.last - 1) != raft.term:
-            self.leader_is_complete(name)
+            self.check_leader_completeness(name)
 
-    def leader_is_complete(self, name: str) -> None:
-        """Leader completeness: whoever is elected has all that was committed before."""
+    def check_leader_completeness(self, name: str) -> None:
+        """Leader completeness: a new leader has all entries that were committed in earlier terms."""
         raft = self.running_member(name).raft
         log = raft.log
         for index, (term, _) in self.applied.items():
-            if self.applied_in[index] < raft.term and index > log.base and log.term(index) != term:
+            if self.applied_term[index] < raft.term and index > log.base and log.term(index) != term:
                 raise InvariantViolated(
                     f"{name} leads without entry {index} of term {term}, which was committed"
                 )
 
-    def logs_match(self) -> None:
-        """Log matching: where two logs have one term at one index, they are alike up to there."""
+    def check_logs_match(self) -> None:
+        """Log matching: two logs with the same term at an index are identical up to that index."""
         logs = [self.running_member(n).raft.log for n in self.live()]
-        for at, one in enumerate(logs):
-            for other in logs[at + 1 :]:
+        for position, one in enumerate(logs):
+            for other in logs[position + 1 :]:
                 low = max(one.base, other.base) + 1
-                alike = False
+                matched = False
                 for index in range(min(one.last, other.last), low - 1, -1):
                     mine, theirs = one.slice(index, index)[0], other.slice(index, index)[0]
                     if mine.term == theirs.term:
-                        alike = True
-                    if alike and mine != theirs:
+                        matched = True
+                    if matched and mine != theirs:
                         raise InvariantViolated(f"entry {index} differs below a match: {mine} and {theirs}")
 
-    def check(self) -> None:
-        self.logs_match()
+    def check_all(self) -> None:
+        self.check_logs_match()
         keys = {op.key for op in self.history}
         for key in sorted(keys):
             if not linearizable([op for op in self.history if op.key == key]):
                 raise InvariantViolated(f"the history of {key} is not linearizable")
 
     def heal_and_converge(self) -> None:
-        """Heal all, and see that all come to hold the same."""
+        """End all faults, and check that all members converge to the same state."""
         self.cuts.clear()
-        self.drops = 0.0
+        self.drop_rate = 0.0
         for name, node in self.nodes.items():
             node.frozen_until = 0.0
-            node.disk.delay = (0.2, 4.0)
-            self.repair(name)
+            node.disk.delay_ms = (0.2, 4.0)
+            self.repair_disk(name)
             if node.member is None:
                 self.start(name)
         for _ in range(60):
             self.run(self.now + 1000.0)
             voters = {n for n in self.live() if n in self.running_member(n).raft.log.config.voters}
-            lead = self.leader()
-            if not lead:
+            leader = self.leader()
+            if not leader:
                 continue
-            names = set(self.running_member(lead).raft.log.config.all()) & set(self.live())
-            ends = {(self.running_member(n).applied, self.running_member(n).store.image()) for n in names}
-            if len(ends) == 1 and voters:
+            names = set(self.running_member(leader).raft.log.config.all()) & set(self.live())
+            states = {(self.running_member(n).applied, self.running_member(n).store.image()) for n in names}
+            if len(states) == 1 and voters:
                 return
-        ends = {n: (self.running_member(n).applied, self.running_member(n).raft.role) for n in self.live()}
-        raise InvariantViolated(f"members do not come together: {ends}")
+        states = {n: (self.running_member(n).applied, self.running_member(n).raft.role) for n in self.live()}
+        raise InvariantViolated(f"members do not converge: {states}")
 
-    def repair(self, name: str) -> None:
+    def repair_disk(self, name: str) -> None:
         node = self.nodes[name]
         node.disk_fails = False
         if node.member is not None and node.member.disk_failed:
@@ -348,29 +363,29 @@
 
 
 class Client:
-    """Asks for one thing after the other, the same again under the same number where nobody answered."""
+    """A client with one operation at a time; it retries under the same number when there is no answer."""
 
     def __init__(self, world: SimulatedCluster, number: int, ops: int) -> None:
-        self.world, self.name, self.left, self.number = world, f"c{number}", ops, 0
+        self.world, self.name, self.remaining, self.number = world, f"c{number}", ops, 0
         self.rng = random.Random(world.rng.random())
-        self.seen: dict[str, bytes | None] = {}
+        self.last_values: dict[str, bytes | None] = {}
         self.revisions: dict[str, int] = {}
-        self.opened = False
-        self.next()
+        self.session_open = False
+        self.schedule_next()
 
-    def next(self) -> None:
-        self.world.schedule(self.rng.uniform(1.0, 120.0), self.go)
+    def schedule_next(self) -> None:
+        self.world.schedule(self.rng.uniform(1.0, 120.0), self.start_operation)
 
-    def go(self) -> None:
-        if not self.opened:
-            self.try_open()
+    def start_operation(self) -> None:
+        if not self.session_open:
+            self.open_session()
             return
-        if self.left <= 0:
+        if self.remaining <= 0:
             return
-        self.left -= 1
+        self.remaining -= 1
         key = f"k{self.rng.randrange(3)}"
         kind = self.rng.choice(["put", "get", "get", "cas"] if key in self.revisions else ["put", "get"])
-        op = Op(kind, key, self.world.now)
+        op = ClientOperation(kind, key, self.world.now)
         self.world.history.append(op)
         if kind == "get":
             self.read(op, 6)
@@ -379,7 +394,7 @@
         op.value = f"{self.name}.{self.number}".encode()
         compares = []
         if kind == "cas":
-            op.expected = self.seen[key]
+            op.expected = self.last_values[key]
             compares = [Compare(key, self.revisions[key])]
         self.write(op, self.number, Transaction([Put(key, op.value)], compares), 40)
 
@@ -387,41 +402,41 @@
         live = self.world.live()
         return self.world.nodes[self.rng.choice(live)].member if live else None
 
-    def try_open(self) -> None:
-        told = False
+    def open_session(self) -> None:
+        is_done = False
 
         def done(answer: Answer | Exception) -> None:
-            nonlocal told
-            if not told:
-                told, self.opened = True, isinstance(answer, Answer)
-                self.next()
+            nonlocal is_done
+            if not is_done:
+                is_done, self.session_open = True, isinstance(answer, Answer)
+                self.schedule_next()
 
         member = self.member()
         if member is None:
-            self.next()
+            self.schedule_next()
             return
         member.submit(self.name, 0, Open(self.name), done, self.world.now, 500.0)
         self.world.schedule(600.0, lambda: done(OutcomeUnknown()))  # its member may have been killed
 
-    def write(self, op: Op, number: int, change: Transaction, tries: int) -> None:
-        told = False
+    def write(self, op: ClientOperation, number: int, change: Transaction, attempts: int) -> None:
+        is_done = False
 
         def done(answer: Answer | Exception) -> None:
-            nonlocal told
-            if told:
+            nonlocal is_done
+            if is_done:
                 return
-            told = True
+            is_done = True
             if isinstance(answer, Answer):
                 if answer.error:
                     raise InvariantViolated(f"{self.name} {number}: {answer.error}")
-                op.ended, op.result = self.world.now, answer.ok
+                op.ended_ms, op.result = self.world.now, answer.ok
                 if answer.ok and op.kind != "get":
-                    self.seen[op.key], self.revisions[op.key] = op.value, answer.revision
-                self.next()
-            elif tries > 0:
-                again = self.rng.uniform(10.0, 150.0)
-                self.world.schedule(again, lambda: self.write(op, number, change, tries - 1))
-            # else nobody will ever know, and this client says no more
+                    self.last_values[op.key], self.revisions[op.key] = op.value, answer.revision
+                self.schedule_next()
+            elif attempts > 0:
+                delay_ms = self.rng.uniform(10.0, 150.0)
+                self.world.schedule(delay_ms, lambda: self.write(op, number, change, attempts - 1))
+            # Otherwise the outcome stays unknown, and this client stops.
 
         member = self.member()
         if member is None:
@@ -430,27 +445,27 @@
         member.submit(self.name, number, change, done, self.world.now, 400.0)
         self.world.schedule(600.0, lambda: done(OutcomeUnknown()))  # its member may have been killed
 
-    def read(self, op: Op, tries: int) -> None:
-        told = False
+    def read(self, op: ClientOperation, attempts: int) -> None:
+        is_done = False
         member = self.member()
 
         def done(error: Exception | None) -> None:
-            nonlocal told
-            if told:
+            nonlocal is_done
+            if is_done:
                 return
-            told = True
+            is_done = True
             if error is None and member is not None:
                 document = member.store.get(op.key)
-                op.ended = self.world.now
+                op.ended_ms = self.world.now
                 op.result = document.value if document is not None else None
                 if document is not None:
-                    self.seen[op.key], self.revisions[op.key] = document.value, document.revision
-                self.next()
-            elif tries > 0:
-                self.world.schedule(self.rng.uniform(10.0, 150.0), lambda: self.read(op, tries - 1))
+                    self.last_values[op.key], self.revisions[op.key] = document.value, document.revision
+                self.schedule_next()
+            elif attempts > 0:
+                self.world.schedule(self.rng.uniform(10.0, 150.0), lambda: self.read(op, attempts - 1))
             else:
-                self.world.history.remove(op)  # it has seen nothing
-                self.next()
+                self.world.history.remove(op)  # a read without a result constrains nothing
+                self.schedule_next()
 
         if member is None:
             done(OutcomeUnknown())
@@ -459,12 +474,14 @@
         self.world.schedule(600.0, lambda: done(OutcomeUnknown()))
 
 
-def linearizable(ops: list[Op]) -> bool:
-    """Whether there is one order of these operations on one register that agrees with time and results (Wing
-    and Gong's search, with what has been tried remembered)."""
-    ops = sorted(ops, key=lambda o: o.begun)
+def linearizable(ops: list[ClientOperation]) -> bool:
+    """Return whether operations on one register are linearizable.
+
+    This is Wing and Gong's search for an order that agrees with times and results, with memoization.
+    """
+    ops = sorted(ops, key=lambda o: o.started_ms)
     full = (1 << len(ops)) - 1
-    must = sum(1 << i for i, o in enumerate(ops) if o.ended != float("inf"))
+    must = sum(1 << i for i, o in enumerate(ops) if o.ended_ms != float("inf"))
     tried: set[tuple[int, bytes | None]] = set()
     stack: list[tuple[int, bytes | None]] = [(0, None)]
     while stack:
@@ -475,13 +492,13 @@
             continue
         tried.add((done, value))
         left = full & ~done
-        first_end = min(o.ended for i, o in enumerate(ops) if left >> i & 1)
+        first_end = min(o.ended_ms for i, o in enumerate(ops) if left >> i & 1)
         for i, op in enumerate(ops):
             if not left >> i & 1:
                 continue
-            if op.begun > first_end:
+            if op.started_ms > first_end:
                 break
-            known = op.ended != float("inf")
+            known = op.ended_ms != float("inf")
             if op.kind == "get":
                 if op.result == value:
                     stack.append((done | 1 << i, value))
@@ -495,14 +512,14 @@
 
 
 class FaultInjector:
-    """Draws what goes wrong next."""
+    """Injects random faults at random times."""
 
-    def __init__(self, world: SimulatedCluster, changes: bool) -> None:
+    def __init__(self, world: SimulatedCluster, change_members: bool) -> None:
         self.world, self.rng = world, random.Random(world.rng.random())
-        self.changes, self.joined, self.stopped = changes, 0, False
-        self.again()
+        self.change_members, self.joined, self.stopped = change_members, 0, False
+        self.schedule_next()
 
-    def again(self) -> None:
+    def schedule_next(self) -> None:
         self.world.schedule(self.rng.uniform(50.0, 700.0), self.inject_fault)
 
     def inject_fault(self) -> None:
@@ -511,14 +528,16 @@
             return
         kinds = ["kill", "kill", "cut", "one way", "heal", "drops", "freeze", "slow", "disk", "transfer",
                  "storm", "storm", "eight", "stale", "double"]  # fmt: skip
-        kinds += ["lose", "older", "save", "forget", "forget"] if world.lossy else []
-        kind = rng.choice([*kinds, "change", "change"] if self.changes else kinds)
+        kinds += ["lose", "older", "save", "forget", "forget"] if world.loses_disks else []
+        kind = rng.choice([*kinds, "change", "change"] if self.change_members else kinds)
         live = world.live()
         name = rng.choice(live) if live else ""
         if kind == "kill" and name:
             world.kill(name)
-            back = rng.uniform(20.0, 900.0)
-            world.schedule(back, lambda: world.start(name) if world.nodes[name].member is None else None)
+            restart_delay_ms = rng.uniform(20.0, 900.0)
+            world.schedule(
+                restart_delay_ms, lambda: world.start(name) if world.nodes[name].member is None else None
+            )
         elif kind in ("cut", "one way") and name:
             for other in world.nodes:
                 if other != name and (kind == "cut" or rng.random() < 0.6):
@@ -528,29 +547,31 @@
             world.schedule(rng.uniform(100.0, 1500.0), world.cuts.clear)
         elif kind == "heal":
             world.cuts.clear()
-            world.drops = 0.0
-        elif kind == "forget" and world.checkpoint_records():
+            world.drop_rate = 0.0
+        elif kind == "forget" and world.can_lose_a_disk():
             ForgottenPromise(world, rng)
         elif kind == "save" and name:
-            world.nodes[name].saved = list(world.nodes[name].disk.synced)
-        elif kind in ("lose", "older") and world.checkpoint_records():
+            world.nodes[name].saved_records = list(world.nodes[name].disk.synced)
+        elif kind in ("lose", "older") and world.can_lose_a_disk():
             name = rng.choice(sorted(world.nodes[world.leader()].member.raft.log.config.voters))  # type: ignore[union-attr]
-            world.lose(name, kind == "older")
-            back = rng.uniform(20.0, 900.0)
-            world.schedule(back, lambda: world.start(name) if world.nodes[name].member is None else None)
-            if rng.random() < 0.5:  # and somebody else dies with it
-                self.blink(rng.choice(world.live() or [name]))
+            world.lose_disk(name, kind == "older")
+            restart_delay_ms = rng.uniform(20.0, 900.0)
+            world.schedule(
+                restart_delay_ms, lambda: world.start(name) if world.nodes[name].member is None else None
+            )
+            if rng.random() < 0.5:  # and another member crashes with it
+                self.restart_briefly(rng.choice(world.live() or [name]))
         elif kind == "drops":
-            world.drops = rng.choice([0.0, 0.05, 0.2])
+            world.drop_rate = rng.choice([0.0, 0.05, 0.2])
         elif kind == "freeze" and name:
             world.nodes[name].frozen_until = world.now + rng.uniform(50.0, 1500.0)
         elif kind == "slow" and name:
-            world.nodes[name].disk.delay = rng.choice([(0.2, 4.0), (20.0, 200.0)])
+            world.nodes[name].disk.delay_ms = rng.choice([(0.2, 4.0), (20.0, 200.0)])
         elif kind == "disk" and name:
             world.nodes[name].disk_fails = True
-            world.schedule(rng.uniform(50.0, 800.0), lambda: world.repair(name))
+            world.schedule(rng.uniform(50.0, 800.0), lambda: world.repair_disk(name))
         elif kind == "storm":
-            self.storm(rng.randint(4, 16))
+            self.election_storm(rng.randint(4, 16))
         elif kind == "eight" and world.leader():
             FigureEight(world, rng)
         elif kind == "double" and len(live) >= 3:
@@ -558,13 +579,15 @@
         elif kind == "stale" and world.leader():
             StaleRead(world, rng)
         elif kind == "transfer" and world.leader():
-            self.change(lambda raft: raft.transfer_leadership(rng.choice(sorted(raft.log.config.voters))))
+            self.apply_at_leader(
+                lambda raft: raft.transfer_leadership(rng.choice(sorted(raft.log.config.voters)))
+            )
         elif kind == "change" and world.leader():
-            self.change(self.members)
-        self.again()
+            self.apply_at_leader(self.change_one_member)
+        self.schedule_next()
 
-    def storm(self, left: int) -> None:
-        """Many elections in a short time, and deaths in the middle of them. To campaign is always allowed."""
+    def election_storm(self, remaining: int) -> None:
+        """Start many elections in a short time, and crash members during them."""
         world, rng = self.world, self.rng
         live = world.live()
         if self.stopped:
@@ -578,31 +601,33 @@
             world.check_leader(name)
         if live and rng.random() < 0.6:
             name = rng.choice(live)
-            world.schedule(rng.uniform(1.0, 25.0), lambda: self.blink(name))
-        if left:
-            world.schedule(rng.uniform(1.0, 60.0), lambda: self.storm(left - 1))
+            world.schedule(rng.uniform(1.0, 25.0), lambda: self.restart_briefly(name))
+        if remaining:
+            world.schedule(rng.uniform(1.0, 60.0), lambda: self.election_storm(remaining - 1))
 
-    def blink(self, name: str) -> None:
+    def restart_briefly(self, name: str) -> None:
         world = self.world
         if world.nodes[name].member is not None:
             world.kill(name)
-            back = self.rng.uniform(1.0, 60.0)
-            world.schedule(back, lambda: world.start(name) if world.nodes[name].member is None else None)
+            restart_delay_ms = self.rng.uniform(1.0, 60.0)
+            world.schedule(
+                restart_delay_ms, lambda: world.start(name) if world.nodes[name].member is None else None
+            )
 
-    def change(self, what: Callable[[Raft], None]) -> None:
+    def apply_at_leader(self, action: Callable[[Raft], None]) -> None:
         member = self.world.nodes[self.world.leader()].member
         assert member is not None
         try:
-            what(member.raft)
+            action(member.raft)
         except (NotLeader, Refused):
             return
         member.flush(self.world.now)
 
-    def members(self, raft: Raft) -> None:
-        """Grow by a learner, make it a voter, or let one go."""
+    def change_one_member(self, raft: Raft) -> None:
+        """Add a learner, make a learner a voter, or remove a voter."""
         config, rng = raft.log.config, self.rng
-        if self.world.lossy and not self.world.checkpoint_records():
-            return  # a lost disk is taken in again first: with another one removed, none might be left
+        if self.world.loses_disks and not self.world.can_lose_a_disk():
+            return  # a lost disk has to be readmitted first: removing another voter could lose the last copy
         if config.learners:
             name = sorted(config.learners)[0]
             if name in config.learners and rng.random() < 0.7:
@@ -617,29 +642,32 @@
             name = f"j{self.joined}"
             self.joined += 1
             raft.change_config(identity.with_members(config, config.voters, {name: name}))
-            self.world.join(name)
+            self.world.add_node(name)
 
 
 class FigureEight:
-    """The dissertation's figure 3.7, as far as chance allows: an entry of an earlier term comes to a majority
-    under a new leader, which dies before one of its own term does; and one who lacks it is elected."""
+    """Attempts the scenario of figure 3.7 of the dissertation.
+
+    A new leader replicates an entry of an earlier term to a majority and crashes before an entry of its own
+    term is replicated as well; then a member that lacks the entry is elected.
+    """
 
     def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
         self.world, self.rng = world, rng
-        self.old = world.leader()
-        others = [n for n in world.live() if n != self.old]
+        self.old_leader = world.leader()
+        others = [n for n in world.live() if n != self.old_leader]
         if len(others) < 2:
             return
         self.rival, self.third = rng.sample(others, 2)
-        self.cut(self.old, others, True)
-        member = self.member(self.old)
+        self.cut(self.old_leader, others, True)
+        member = self.member(self.old_leader)
         if member is None or member.disk_failed:
             return
         number = rng.getrandbits(50)
         change = Transaction([Put("eight", b"%d" % number)])
         member.submit("", number, change, lambda answer: None, world.now, 400.0)
-        self.entry = member.raft.log.last
-        world.schedule(6.0, lambda: self.campaign(self.rival, self.rival_leads, 4))
+        self.entry_index = member.raft.log.last
+        world.schedule(6.0, lambda: self.campaign(self.rival, self.handle_rival_elected, 4))
 
     def member(self, name: str) -> Member | None:
         return self.world.nodes[name].member
@@ -650,68 +678,72 @@
             if both:
                 self.world.cuts.add((other, name))
 
-    def campaign(self, name: str, then: Callable[[], None], tries: int) -> None:
-        """Until it leads; nothing follows where it does not."""
+    def campaign(self, name: str, on_elected: Callable[[], None], attempts: int) -> None:
+        """Campaign until the member leads, and call `on_elected`; give up after some attempts."""
         world, member = self.world, self.member(name)
-        if member is None or member.disk_failed or not tries:
+        if member is None or member.disk_failed or not attempts:
             world.cuts.clear()
             return
         member.raft.campaign(force=True)
         member.flush(world.now)
         end = world.now + 60.0
 
-        def check_leader() -> None:
+        def check_elected() -> None:
             now = self.member(name)
             if now is not None and now.raft.role is Role.LEADER:
-                then()
+                on_elected()
             elif world.now < end:
-                world.schedule(0.25, check_leader)
+                world.schedule(0.25, check_elected)
             else:
-                self.campaign(name, then, tries - 1)
+                self.campaign(name, on_elected, attempts - 1)
 
         if name == self.rival:
-            self.mute(name, end)
-        check_leader()
+            self.block_after_vote(name, end)
+        check_elected()
 
-    def mute(self, name: str, end: float) -> None:
-        """Once the third has its vote, the rival's own entry goes nowhere."""
+    def block_after_vote(self, name: str, end: float) -> None:
+        """Once the third member has voted for the rival, keep the rival's own entry from being replicated."""
         third, rival = self.member(self.third), self.member(name)
         if third is None or rival is None or self.world.now > end:
             return
         if third.raft.vote == name and third.raft.term == rival.raft.term:
             self.cut(name, [n for n in self.world.nodes if n != name], False)
         else:
-            self.world.schedule(0.25, lambda: self.mute(name, end))
+            self.world.schedule(0.25, lambda: self.block_after_vote(name, end))
 
-    def rival_leads(self) -> None:
+    def handle_rival_elected(self) -> None:
         world = self.world
         dies = self.rng.uniform(4.0, 8.0)
         world.schedule(dies, lambda: world.kill(self.rival) if self.member(self.rival) else None)
-        world.schedule(9.0, self.old_again)
+        world.schedule(9.0, self.campaign_old_leader)
 
-    def old_again(self) -> None:
+    def campaign_old_leader(self) -> None:
         self.world.cuts.clear()
-        self.campaign(self.old, self.old_leads, 4)
+        self.campaign(self.old_leader, self.wait_for_old_commit, 4)
 
-    def old_leads(self) -> None:
-        """It dies as soon as its old entry counts as committed, if it ever does too early."""
-        world, member = self.world, self.member(self.old)
+    def wait_for_old_commit(self) -> None:
+        """Crash the old leader once it regards its old entry as committed, and let the rival campaign."""
+        world, member = self.world, self.member(self.old_leader)
         if member is None:
             return
-        if member.raft.commit < self.entry:
-            world.schedule(0.25, self.old_leads)
+        if member.raft.commit < self.entry_index:
+            world.schedule(0.25, self.wait_for_old_commit)
             return
-        self.cut(self.old, [self.third], False)
-        world.kill(self.old)
+        self.cut(self.old_leader, [self.third], False)
+        world.kill(self.old_leader)
         if world.nodes[self.rival].member is None:
             world.start(self.rival)
         self.campaign(self.rival, world.cuts.clear, 4)
-        world.schedule(400.0, lambda: world.start(self.old) if self.member(self.old) is None else None)
+        world.schedule(
+            400.0, lambda: world.start(self.old_leader) if self.member(self.old_leader) is None else None
+        )
 
 
 class DoubleVote:
-    """One who has voted dies, and is asked again for the same term by another, who has not heard of the
-    first."""
+    """A voter crashes after it has voted, and another candidate requests its vote in the same term.
+
+    The two candidates are cut off from each other.
+    """
 
     def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
         self.world = world
@@ -719,8 +751,8 @@
         world.cuts |= {(self.first, self.second)}
         world.schedule(300.0, world.cuts.clear)
         self.campaign(self.first)
-        self.looks = 100
-        self.check_leader()
+        self.remaining_checks = 100
+        self.wait_for_vote()
 
     def campaign(self, name: str) -> None:
         member = self.world.nodes[name].member
@@ -729,16 +761,16 @@
             member.flush(self.world.now)
             self.world.check_leader(name)
 
-    def check_leader(self) -> None:
-        member, self.looks = self.world.nodes[self.voter].member, self.looks - 1
-        if member is None or not self.looks:
+    def wait_for_vote(self) -> None:
+        member, self.remaining_checks = self.world.nodes[self.voter].member, self.remaining_checks - 1
+        if member is None or not self.remaining_checks:
             return
         if member.raft.vote != self.first:
-            self.world.schedule(0.25, self.check_leader)
+            self.world.schedule(0.25, self.wait_for_vote)
         else:
-            self.world.schedule(6.0, self.die)
+            self.world.schedule(6.0, self.restart_voter)
 
-    def die(self) -> None:
+    def restart_voter(self) -> None:
         world = self.world
         if world.nodes[self.voter].member is not None:
             world.kill(self.voter)
@@ -747,8 +779,11 @@
 
 
 class ForgottenPromise:
-    """One member is cut off while an entry is committed by the leader and the other. Both die; the other
-    comes back with a copy of its disk from before, or with none, and the two that lack it are left alone."""
+    """A member loses an entry that it has acknowledged, together with its disk.
+
+    One member is cut off while the leader and the other member commit an entry. Both crash, and the other one
+    restarts with an empty disk or an earlier copy, so that two members without the entry are left.
+    """
 
     def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
         self.world, self.rng, self.leader = world, rng, world.leader()
@@ -757,102 +792,102 @@
         if len(config.voters) != 3 or len(others) != 2:
             return
         self.behind, self.other = rng.sample(others, 2)
-        world.nodes[self.other].saved = list(world.nodes[self.other].disk.synced)
+        world.nodes[self.other].saved_records = list(world.nodes[self.other].disk.synced)
         world.cuts |= {p for n in world.nodes for p in ((self.behind, n), (n, self.behind))}
         number = rng.getrandbits(50)
         change = Transaction([Put("forget", b"%d" % number)])
-        world.running_member(self.leader).submit("", number, change, self.told, world.now, 400.0)
+        world.running_member(self.leader).submit(
+            "", number, change, self.handle_acknowledged, world.now, 400.0
+        )
 
-    def told(self, answer: Answer | Exception) -> None:
-        """It is acknowledged: from here on it may not be lost."""
+    def handle_acknowledged(self, answer: Answer | Exception) -> None:
+        """Continue once the entry is acknowledged, from when on it must not be lost."""
         world, nodes = self.world, self.world.nodes
-        if (
-            not isinstance(answer, Answer)
-            or nodes[self.leader].member is None
-            or not world.checkpoint_records()
-        ):
+        if not isinstance(answer, Answer) or nodes[self.leader].member is None or not world.can_lose_a_disk():
             return
         world.schedule(0.0, self.inject_fault)
 
     def inject_fault(self) -> None:
         world, nodes = self.world, self.world.nodes
-        if nodes[self.leader].member is None or not world.checkpoint_records():
+        if nodes[self.leader].member is None or not world.can_lose_a_disk():
             return
         world.kill(self.leader)
-        world.lose(self.other, self.rng.random() < 0.6)
+        world.lose_disk(self.other, self.rng.random() < 0.6)
         world.start(self.other)
         world.cuts.clear()
-        world.drops = 0.0
+        world.drop_rate = 0.0
         leader = self.leader
-        back = self.rng.uniform(2500.0, 4000.0)
-        world.schedule(back, lambda: world.start(leader) if nodes[leader].member is None else None)
+        restart_delay_ms = self.rng.uniform(2500.0, 4000.0)
+        world.schedule(
+            restart_delay_ms, lambda: world.start(leader) if nodes[leader].member is None else None
+        )
 
 
 class StaleRead:
-    """A leader that is cut off is replaced at once, and asked for what has been changed meanwhile."""
+    """A leader is cut off and replaced, and is then asked for a value that its successor has changed."""
 
     def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
-        self.world, self.old, self.value = world, world.leader(), b"%d" % rng.getrandbits(40)
-        others = [n for n in world.live() if n != self.old]
+        self.world, self.old_leader, self.value = world, world.leader(), b"%d" % rng.getrandbits(40)
+        others = [n for n in world.live() if n != self.old_leader]
         if len(others) < 2:
             return
         for name in world.nodes:
-            world.cuts |= {(self.old, name), (name, self.old)}
+            world.cuts |= {(self.old_leader, name), (name, self.old_leader)}
         world.schedule(900.0, world.cuts.clear)
-        self.new = rng.choice(others)
+        self.new_leader = rng.choice(others)
         self.campaign(3)
 
-    def campaign(self, tries: int) -> None:
-        member = self.world.nodes[self.new].member
-        if member is None or member.disk_failed or not tries:
+    def campaign(self, attempts: int) -> None:
+        member = self.world.nodes[self.new_leader].member
+        if member is None or member.disk_failed or not attempts:
             return
         if member.raft.role is Role.LEADER:
             self.write(member)
             return
         member.raft.campaign(force=True)
         member.flush(self.world.now)
-        self.world.schedule(60.0, lambda: self.campaign(tries - 1))
+        self.world.schedule(60.0, lambda: self.campaign(attempts - 1))
 
     def write(self, member: Member) -> None:
-        op = Op("put", "k0", self.world.now, self.value)
+        op = ClientOperation("put", "k0", self.world.now, self.value)
         self.world.history.append(op)
 
         def done(answer: Answer | Exception) -> None:
             if isinstance(answer, Answer):
-                op.ended, op.result = self.world.now, True
+                op.ended_ms, op.result = self.world.now, True
                 self.read()
 
         number = int(self.value)
         member.submit("", number, Transaction([Put("k0", self.value)]), done, self.world.now, 300.0)
 
     def read(self) -> None:
-        member = self.world.nodes[self.old].member
+        member = self.world.nodes[self.old_leader].member
         if member is None:
             return
-        op = Op("get", "k0", self.world.now)
+        op = ClientOperation("get", "k0", self.world.now)
 
         def done(error: Exception | None) -> None:
             if error is None:
                 document = member.store.get("k0")
-                op.ended, op.result = self.world.now, document.value if document is not None else None
+                op.ended_ms, op.result = self.world.now, document.value if document is not None else None
                 self.world.history.append(op)
 
         member.read(done, self.world.now, 200.0)
 
 
-def play(
-    seed: int, raft: type[Raft] = Raft, ms: float = 6000.0, changes: bool = False, clients: int = 4,
-    ops: int = 14, size: int = 3, lossy: bool = False,
+def run_simulation(
+    seed: int, raft_class: type[Raft] = Raft, duration_ms: float = 6000.0,
+    change_members: bool = False, clients: int = 4, ops: int = 14, size: int = 3, loses_disks: bool = False,
 ) -> SimulatedCluster:  # fmt: skip
-    """One run. Raises `InvariantViolated` where a promise did not hold."""
-    world = SimulatedCluster(seed, size=size, raft=raft, lossy=lossy)
+    """Run one simulation and return the cluster. Raises `InvariantViolated`."""
+    world = SimulatedCluster(seed, size=size, raft_class=raft_class, loses_disks=loses_disks)
     for number in range(clients):
         Client(world, number, ops)
-    trouble = FaultInjector(world, changes)
+    faults = FaultInjector(world, change_members)
     for step in range(1, 13):
-        world.run(ms * step / 12)
-        world.logs_match()
-    trouble.stopped = True
+        world.run(duration_ms * step / 12)
+        world.check_logs_match()
+    faults.stopped = True
     world.heal_and_converge()
-    world.check()
+    world.check_all()
     return world
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -1,4 +1,4 @@
-"""Which disk a member speaks from: the rules, the machine, and three real processes that lose their disks."""
+"""Tests of members that lose their disks: the rules, Raft, and clusters of three real processes."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 def raft(name: str, disk: str = "", config: Config | None = None) -> Raft:
-    """A member with this disk, whose log begins with this configuration."""
-    said = config if config is not None else Config(VOTERS, {}, DISKS)
-    entries = [Entry(1, 0, int(EntryKind.CONFIG), said.pack())]
+    """Return a member on this disk, whose log starts with this configuration."""
+    initial = config if config is not None else Config(VOTERS, {}, DISKS)
+    entries = [Entry(1, 0, int(EntryKind.CONFIG), initial.pack())]
     return Raft(name, HardState(), Snapshot(), entries, random.Random(name), disk or f"disk-{name}")
 
 
-def asks(member: Raft) -> None:
-    """It campaigns, past the pre-vote of one other."""
+def start_campaign(member: Raft) -> None:
+    """Make a member campaign, and drop its output."""
     member.campaign()
     member.take_output()
 
@@ -53,61 +53,70 @@
 # ---- rules ---------------------------------------------------------------------------------------------
 
 
-def test_a_cluster_begins_once_all_its_first_members_have_been_met_and_by_one_of_them() -> None:
+def test_one_member_creates_the_cluster_once_all_initial_members_are_discovered() -> None:
+    """Two members that each write the first configuration would create two clusters."""
     first, second = (identity.ClusterBootstrap(n, DISKS[n], VOTERS) for n in "ab")
     first.record_member("b", "disk-b", False)
     assert first.missing_members() == ["c"] and first.initial_config() is None
-    first.record_member("x", "disk-x", False)  # nobody that we know of
+    first.record_member("x", "disk-x", False)  # not an initial member
     first.record_member("c", "disk-c", False)
     assert first.initial_config() == Config(VOTERS, {}, DISKS)
     for name in "ac":
         second.record_member(name, DISKS[name], False)
-    assert second.initial_config() is None  # it is the first one's to do
+    assert second.initial_config() is None  # the first member by name writes it
 
 
-def test_whoever_has_a_log_keeps_the_others_from_beginning_a_second_cluster() -> None:
+def test_no_second_cluster_is_created_while_a_member_has_a_log() -> None:
+    """A member that lost its disk must not create a new cluster next to the existing one."""
     founding = identity.ClusterBootstrap("a", "disk-new", VOTERS)
     founding.record_member("b", "disk-b", False)
     founding.record_member("c", "disk-c", True)
     assert founding.initial_config() is None
 
 
-def test_a_lost_disk_is_taken_in_as_a_learner_once_the_old_one_is_silent() -> None:
+def test_a_member_on_a_new_disk_becomes_a_learner_once_the_old_disk_is_silent() -> None:
+    """Two processes with one name must not replace each other, and a replaced disk must not return."""
     config, now = Config(VOTERS, {}, DISKS), 100
-    said = {"b": "disk-new"}
-    assert identity.admit_unknown_disk(config, said, {"b": now - 1}, now) is None  # two processes by one name
-    got = identity.admit_unknown_disk(config, said, {"b": now - identity.SILENCE_TICKS}, now)
-    assert got is not None
-    assert (set(got.voters), got.learners, got.disks["b"]) == ({"a", "c"}, {"b": "b"}, "disk-new")
-    assert got.retired == ["disk-b"]
-    assert identity.admit_unknown_disk(got, {"b": "disk-b"}, {}, now) is None  # it comes back no more
-
-
-def test_a_disk_that_nothing_is_known_of_is_noted_and_the_last_voter_is_never_let_go() -> None:
+    unknown_disks = {"b": "disk-new"}
+    # Two processes with one name.
+    assert identity.admit_unknown_disk(config, unknown_disks, {"b": now - 1}, now) is None
+    changed = identity.admit_unknown_disk(config, unknown_disks, {"b": now - identity.SILENCE_TICKS}, now)
+    assert changed is not None
+    assert (set(changed.voters), changed.learners, changed.disks["b"]) == ({"a", "c"}, {"b": "b"}, "disk-new")
+    assert changed.retired == ["disk-b"]
+    # A retired disk does not return.
+    assert identity.admit_unknown_disk(changed, {"b": "disk-b"}, {}, now) is None
+
+
+def test_an_unknown_disk_is_recorded_and_the_last_voter_is_never_replaced() -> None:
+    """Configurations of earlier versions name no disks. Without its last voter a cluster has no log."""
     old = Config({"a": "a", "b": "b"}, {}, {"a": "disk-a"})
-    got = identity.admit_unknown_disk(old, {"b": "disk-b", "x": "disk-x", "a": ""}, {}, 100)
-    assert got == Config({"a": "a", "b": "b"}, {}, {"a": "disk-a", "b": "disk-b"})
+    changed = identity.admit_unknown_disk(old, {"b": "disk-b", "x": "disk-x", "a": ""}, {}, 100)
+    assert changed == Config({"a": "a", "b": "b"}, {}, {"a": "disk-a", "b": "disk-b"})
     assert identity.admit_unknown_disk(Config({"a": "a"}, {}, {"a": "1"}), {"a": "2"}, {}, 100) is None
 
 
-def test_members_come_and_go_with_what_is_known_of_their_disks() -> None:
+def test_disks_of_remaining_members_are_kept_and_those_of_removed_members_retired() -> None:
+    """A removed member must not return under its name with its old disk."""
     config = Config(VOTERS, {}, DISKS, ["disk-old"])
-    got = identity.with_members(config, {"a": "a", "b": "b"}, {"d": "d"})
-    assert (got.disks, got.retired) == ({"a": "disk-a", "b": "disk-b"}, ["disk-old", "disk-c"])
+    changed = identity.with_members(config, {"a": "a", "b": "b"}, {"d": "d"})
+    assert (changed.disks, changed.retired) == ({"a": "disk-a", "b": "disk-b"}, ["disk-old", "disk-c"])
 
 
-def test_a_copy_is_told_from_the_directory_itself() -> None:
-    born = MemberIdentity("c", "a", "disk-a", "11:22")
-    assert identity.is_copy(born, "11:23") and identity.is_copy(born, "12:22")
-    assert not identity.is_copy(born, "11:22") and not identity.is_copy(MemberIdentity("c", "a"), "1:1")
+def test_a_copied_directory_is_detected() -> None:
+    """A copy has an anchor file with another inode number or change time."""
+    own = MemberIdentity("c", "a", "disk-a", "11:22")
+    assert identity.is_copy(own, "11:23") and identity.is_copy(own, "12:22")
+    assert not identity.is_copy(own, "11:22") and not identity.is_copy(MemberIdentity("c", "a"), "1:1")
 
 
-# ---- the machine ---------------------------------------------------------------------------------------
+# ---- Raft ----------------------------------------------------------------------------------------------
 
 
-def test_a_vote_from_another_disk_is_none() -> None:
+def test_a_vote_from_another_disk_is_ignored() -> None:
+    """A member that lost its disk may have voted otherwise in this term."""
     a = raft("a")
-    asks(a)
+    start_campaign(a)
     a.step(VoteResponse("b", "a", 1, True, True, "disk-new"))
     assert a.role is Role.PRE_CANDIDATE
     a.step(VoteResponse("b", "a", 1, True, True, "disk-b"))
@@ -118,7 +127,8 @@
     assert a.role is Role.LEADER
 
 
-def test_one_on_a_copy_does_not_campaign() -> None:
+def test_a_member_on_a_copied_disk_does_not_campaign() -> None:
+    """Its log may lack entries that the lost disk had acknowledged."""
     copy = raft("a", "disk-copy")
     for _ in range(100):
         copy.tick()
@@ -126,8 +136,8 @@
     assert not [m for m in copy.take_output().messages_after_persist if isinstance(m, VoteRequest)]
 
 
-def test_a_copy_applies_nothing_by_what_its_leader_knows_of_the_lost_disk() -> None:
-    """Its log may hold others' entries where the lost disk's had the leader's."""
+def test_a_copied_disk_ignores_a_commit_index_that_refers_to_the_lost_disk() -> None:
+    """The copy's log may hold other entries where the lost disk's log matched the leader's."""
     config = Config(VOTERS, {}, DISKS)
     entries = [Entry(1, 0, int(EntryKind.CONFIG), config.pack()), Entry(2, 1, int(EntryKind.COMMAND), b"old")]
     copy = Raft("b", HardState(1, ""), Snapshot(), entries, random.Random(1), "disk-copy")
@@ -137,7 +147,8 @@
     assert copy.commit == 2
 
 
-def test_a_disk_that_was_replaced_is_told_so_and_nobody_else() -> None:
+def test_only_the_replaced_disk_is_notified_of_its_removal() -> None:
+    """The member on the new disk has the same name and must not regard itself as removed."""
     a = raft("a", config=Config(VOTERS, {}, {**DISKS, "b": "disk-new"}, ["disk-b"]))
     a.step(VoteResponse("b", "a", 0, False, True, "disk-b"))
     (gone,) = [m for m in a.take_output().messages if isinstance(m, NotAMember)]
@@ -148,8 +159,8 @@
         assert b.notified_removed is meant
 
 
-def test_nobody_is_let_go_where_too_few_of_the_rest_are_there() -> None:
-    """Else a change that nobody can commit would need the disk that was lost."""
+def test_a_voter_is_not_removed_if_too_few_others_are_reachable() -> None:
+    """Otherwise only the lost disk could help to commit the change, and everything after it."""
     a = raft("a")
     a.campaign(force=True)
     a.step(VoteResponse("b", "a", 1, True, False, "disk-b"))
@@ -168,30 +179,34 @@
 
 @pytest.fixture
 def three() -> Iterator[Cluster]:
-    with cluster() as it:
-        wait_for(lambda: len(it.statuses()) == 3, "all three to answer")
-        it.together()
-        yield it
-
-
-def alone_with_a_lost_disk(it: Cluster) -> tuple[str, str, str]:
-    """A document is acknowledged while one member is down; then the leader dies, and another comes back with
-    an empty disk. Returns the leader, the one that was down and the emptied one."""
-    leader = it.leader()
-    behind, lost = sorted(set(it.all) - {leader})
-    it.all[behind].kill()
-    it.store_client().put("kept", b"acknowledged")
-    it.all[leader].kill()
-    it.all[lost].kill()
-    shutil.rmtree(it.all[lost].directory)
-    it.all[lost].start()
-    it.all[behind].start()
-    wait_for(lambda: len(it.statuses()) == 2, "the two that are left to answer")
+    with cluster() as members:
+        wait_for(lambda: len(members.statuses()) == 3, "all three to answer")
+        members.together()
+        yield members
+
+
+def lose_a_disk_and_the_leader(members: Cluster) -> tuple[str, str, str]:
+    """Acknowledge a document while one member is down, kill the leader, and empty the disk of the third.
+
+    Returns:
+        The leader, the member that was down, and the one with the empty disk.
+    """
+    leader = members.leader()
+    behind, lost = sorted(set(members.all) - {leader})
+    members.all[behind].kill()
+    members.store_client().put("kept", b"acknowledged")
+    members.all[leader].kill()
+    members.all[lost].kill()
+    shutil.rmtree(members.all[lost].directory)
+    members.all[lost].start()
+    members.all[behind].start()
+    wait_for(lambda: len(members.statuses()) == 2, "the two that are left to answer")
     return leader, behind, lost
 
 
-def test_two_that_are_left_with_one_empty_disk_wait_for_the_third(three: Cluster) -> None:
-    leader, behind, lost = alone_with_a_lost_disk(three)
+def test_two_members_of_which_one_lost_its_disk_wait_for_the_third(three: Cluster) -> None:
+    """Together they could elect a leader without an entry that was acknowledged."""
+    leader, behind, lost = lose_a_disk_and_the_leader(three)
     with pytest.raises(Failed) as failed:
         StoreClient([three.all[n].door for n in (behind, lost)], 4.0).put("new", b"1")
     assert failed.value.kind == "no-leader"
@@ -202,12 +217,13 @@
         config = three.all[leader].status()
         return lost in config["voters"] and config["disks"][lost] == three.all[lost].status()["disk"]
 
-    wait_for(voter_again, "the emptied one to be a voter again, by itself")
+    wait_for(voter_again, "the member with the empty disk to be a voter again")
     three.together()
     assert three.store_client(20.0, lost).get("kept")[0] == b"acknowledged"
 
 
-def test_a_copy_of_last_weeks_disk_has_no_vote_until_it_is_taken_in_again(three: Cluster) -> None:
+def test_a_member_on_an_old_copy_of_its_disk_has_no_vote_until_it_is_readmitted(three: Cluster) -> None:
+    """Its vote could elect a leader without an entry that its lost disk had acknowledged."""
     leader = three.leader()
     behind, old = sorted(set(three.all) - {leader})
     three.all[old].kill()
@@ -216,7 +232,8 @@
     three.all[old].start()
     three.together()
     three.all[behind].kill()
-    three.store_client().put("kept", b"acknowledged")  # by the leader and the one whose disk is put back
+    # Acknowledged by the leader and the member whose disk is replaced.
+    three.store_client().put("kept", b"acknowledged")
     three.all[leader].kill()
     three.all[old].kill()
     shutil.rmtree(three.all[old].directory)
@@ -234,13 +251,17 @@
     assert three.store_client(20.0, old).get("kept")[0] == b"acknowledged"
 
 
-def test_with_a_majority_lost_one_serves_on_and_a_new_generation_begins_with_what_it_has(
+def test_after_loss_of_a_majority_a_new_generation_starts_from_the_survivor(
     three: Cluster,
 ) -> None:
+    """The survivor of a lost majority serves stale reads only, until it is restored as a new cluster.
+
+    Members and watches of the old generation must then be rejected, or they would mix both histories.
+    """
     store = three.store_client()
     revision = store.put("kept", b"acknowledged")["revision"]
     watch = store.watch("", revision - 1)
-    assert next(watch)["name"] == "kept"  # somebody follows, and will ask for more after this revision
+    assert next(watch)["name"] == "kept"  # a client that continues after this revision later
     old, away, emptied = sorted(three.all)
     three.together()
     for name in (away, emptied):
@@ -251,9 +272,10 @@
     assert only.get("kept", stale=True)[0] == b"acknowledged"
     with pytest.raises(Failed) as failed:
         only.put("new", b"1")
-    assert failed.value.kind in ("no-leader", "unknown")  # it led perhaps, and has yet to find out
+    # It may not have noticed yet that it has lost the quorum.
+    assert failed.value.kind in ("no-leader", "unknown")
 
-    # An operator decides to go on with what is left, while the others are still there.
+    # An operator restores the cluster from the survivor, while the other members still exist.
     one = three.all[old]
     one.kill()
     saved = one.directory.rename(one.folder / "old")
@@ -266,25 +288,26 @@
     assert (one.status()["generation"], one.status()["voters"]) == (2, {old: one.listen})
     client.put("new", b"2")
     other = three.all[away]
-    other.start()  # as after a cut, on whose other side it was
+    other.start()  # as after a network partition
     wait_for(lambda: "generation 1 of the cluster; here is 2" in other.log(), "the old one to be refused")
     assert one.status()["voters"] == {old: one.listen}
 
-    # Who followed the old one's revisions is told to begin anew, and does not wait for them to come again.
+    # A watch of the old generation has to start anew, and must not wait for its revisions to recur.
     store.doors = [one.door]
     with pytest.raises(Failed) as begun:
         for _ in zip(range(200), watch, strict=False):
-            pass  # what was told of the old generation before it ended
+            pass  # events of the old generation that were sent before it ended
     assert begun.value.kind == "compacted"
 
-    # One without anything comes in again as a new member.
+    # A member with an empty disk joins as a new member.
     fresh = three.all[emptied]
     client.ask("add", 20.0, name=emptied, address=fresh.listen)
     assert StoreClient([fresh.door], 15.0).get("new")[0] == b"2"
     assert fresh.status()["generation"] == 2
 
 
-def test_a_store_of_one_may_be_moved() -> None:
+def test_the_directory_of_a_single_member_may_be_moved() -> None:
+    """A copy of the only voter's directory must not lose its vote."""
     with tempfile.TemporaryDirectory() as folder:
         one = Process(Path(folder), "solo", {}, "")
         one.parts["store"] = {"directory": str(one.directory)}
@@ -300,18 +323,19 @@
             one.kill()
 
 
-def test_two_processes_by_one_name_leave_the_member_its_place(three: Cluster) -> None:
+def test_a_second_process_with_the_same_name_does_not_replace_the_member(three: Cluster) -> None:
+    """Otherwise a mistake in a setting would retire the disk of a running member."""
     leader = three.leader()
     name = sorted(set(three.all) - {leader})[0]
     folder = three.folder / "second"
     folder.mkdir()
-    twin = Process(folder, name, three.members, f"127.0.0.1:{free_port()}")
-    twin.start()
+    second = Process(folder, name, three.members, f"127.0.0.1:{free_port()}")
+    second.start()
     try:
-        wait_for(lambda: "others have a log" in twin.log(), "the second one to find out")
+        wait_for(lambda: "others have a log" in second.log(), "the second process to find the log")
         before = three.all[leader].status()["disks"]
         time.sleep(1.5)
         assert three.all[leader].status()["disks"] == before
         assert name in three.all[leader].status()["voters"]
     finally:
-        twin.kill()
+        second.kill()
