--- a/tests/store_sim.py
+++ b/tests/store_sim.py
@@ -549,7 +549,7 @@
             world.cuts.clear()
             world.drop_rate = 0.0
         elif kind == "forget" and world.can_lose_a_disk():
-            ForgottenPromise(world, rng)
+            LostAcknowledgement(world, rng)
         elif kind == "save" and name:
             world.nodes[name].saved_records = list(world.nodes[name].disk.synced)
         elif kind in ("lose", "older") and world.can_lose_a_disk():
@@ -587,7 +587,10 @@
         self.schedule_next()
 
     def election_storm(self, remaining: int) -> None:
-        """Start many elections in a short time, and crash members during them."""
+        """Start many elections in a short time, and crash members during them.
+
+        A member may campaign at any time, so this alone breaks no invariant.
+        """
         world, rng = self.world, self.rng
         live = world.live()
         if self.stopped:
@@ -646,7 +649,7 @@
 
 
 class FigureEight:
-    """Attempts the scenario of figure 3.7 of the dissertation.
+    """Attempts the scenario of figure 3.7 of the dissertation (figure 8 of the Raft paper).
 
     A new leader replicates an entry of an earlier term to a majority and crashes before an entry of its own
     term is replicated as well; then a member that lacks the entry is elected.
@@ -778,7 +781,7 @@
             self.campaign(self.second)
 
 
-class ForgottenPromise:
+class LostAcknowledgement:
     """A member loses an entry that it has acknowledged, together with its disk.
 
     One member is cut off while the leader and the other member commit an entry. Both crash, and the other one
