--- a/eiderpin/store/backup.py
+++ b/eiderpin/store/backup.py
@@ -17,7 +17,7 @@
 from eiderpin.durable.frames import BadFormat
 from eiderpin.durable.log import Log
 from eiderpin.durable.reading import Damaged
-from eiderpin.parts.store import NAME, address
+from eiderpin.parts.store import NAME_PATTERN, parse_address
 from eiderpin.store.anchor import Anchor
 from eiderpin.store.messages import Config, EntryKind, HardState, Snapshot
 from eiderpin.store.records import MemberIdentity, RestoredState, checkpoint_records
@@ -104,13 +104,13 @@
     """
     image, generation = load(path)
     for value in (name, cluster):
-        if not NAME.fullmatch(value):
+        if not NAME_PATTERN.fullmatch(value):
             raise ValueError(f"{value!r}: up to 64 letters, digits and ._- are expected")
     if name not in members:
         raise ValueError(f"{name} is not among the members {', '.join(members)}")
     for other, other_address in members.items():
         if len(members) > 1:
-            address(other_address, other)
+            parse_address(other_address, other)
     if os.path.isdir(folder) and os.listdir(folder):
         raise ValueError(f"{folder}: it is not empty")
     restored = RestoredState()
--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -14,7 +14,7 @@
 from eiderpin.durable.log import Log, NotWritable
 from eiderpin.durable.reading import Damaged
 from eiderpin.net.loop import READ, Loop
-from eiderpin.parts.store import Options
+from eiderpin.parts.store import StoreOptions
 from eiderpin.store import identity
 from eiderpin.store.anchor import Anchor
 from eiderpin.store.log import EntryLog
@@ -59,7 +59,7 @@
     """The store member of this dispatcher."""
 
     def __init__(
-        self, loop: Loop, counters: Counters, options: Options, rng: random.Random,
+        self, loop: Loop, counters: Counters, options: StoreOptions, rng: random.Random,
         say: Callable[[str], None], warn: Callable[[str], None],
     ) -> None:  # fmt: skip
         """Read the member's directory, listen for other members, and start the member.
--- a/eiderpin/store/transport.py
+++ b/eiderpin/store/transport.py
@@ -16,7 +16,7 @@
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Deadline
 from eiderpin.net.loop import Connection, Listener, Loop
-from eiderpin.parts.store import address
+from eiderpin.parts.store import parse_address
 from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.messages import Message
 
@@ -72,7 +72,7 @@
     def connect(self) -> None:
         """Start one attempt to connect."""
         self.retry_timer = None
-        conn = self.transport.loop.connect(address(self.peer_address, "a member's address"))
+        conn = self.transport.loop.connect(parse_address(self.peer_address, "a member's address"))
         if conn is None:
             self.schedule_retry()
             return
@@ -250,7 +250,7 @@
         if not hello.address or self.learned_addresses.get(hello.frm) == hello.address:
             return
         try:
-            address(hello.address, "its address")
+            parse_address(hello.address, "its address")
         except ValueError:
             return
         self.learned_addresses.pop(hello.frm, None)
