--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -37,21 +37,23 @@
 from eiderpin.shutdown import Shutdown
 
 if TYPE_CHECKING:
-    from eiderpin.fleet.comeback import Comeback
+    from eiderpin.fleet.comeback import RejoinProgress
     from eiderpin.fleet.control_plane import ControlPlane
-    from eiderpin.fleet.ownership import Ownership
+    from eiderpin.fleet.ownership import LedgerOwnership
     from eiderpin.fleet.shared_state import SharedState
     from eiderpin.net.agent_check import AgentCheck
     from eiderpin.net.gearman_front import GearmanFront
     from eiderpin.net.handover import Handover
     from eiderpin.net.management import Management
     from eiderpin.net.static_list import StaticList
-    from eiderpin.parts.durable import Options
+    from eiderpin.parts.durable import DurableOptions
     from eiderpin.parts.observer import FollowOptions
-    from eiderpin.parts.store import Options as StoreOptions
+    from eiderpin.parts.store import StoreOptions
     from eiderpin.store.host import StoreHost
 
-SETTLE = 400.0  # ms after a drain in which the front may still send new clients: idle ones are not yet closed
+DRAIN_SETTLE_MS = (
+    400.0  # ms after a drain in which the front may still send new clients: idle ones are not yet closed
+)
 LATEST_BEGIN = 3000.0  # ms in which a new process takes the clients, whatever it has not heard by then
 FEW_MORE = 6  # connections to workers that a process may add once its successor has the clients
 STORE_EVERY = 100.0  # ms between looks whether our predecessor has given its member of the store up
@@ -115,12 +117,12 @@
         except OSError as error:
             raise ConfigError(f"cannot listen: {error}") from None
         self.shutdown = Shutdown(self.core, self.http_front, self.gearman, self.workers, self.ledger)
-        self.listed: StaticList | None = None
+        self.static_list: StaticList | None = None
         if config.workers is not None:
             from eiderpin.net import static_list
 
-            self.listed = static_list.StaticList(self.core, self.workers)
-            self.listed.update_workers(config.workers)
+            self.static_list = static_list.StaticList(self.core, self.workers)
+            self.static_list.update_workers(config.workers)
         self.discovery: discovery.Discovery | None = None
         if config.discovery is not None:
             self.discovery = discovery.Discovery(
@@ -146,7 +148,7 @@
         if config.follow is not None:
             self.follow_store(config.follow)
 
-    def own_ledger(self, options: Options) -> Ownership:
+    def own_ledger(self, options: DurableOptions) -> LedgerOwnership:
         """Raises `ConfigError` where the ledger of durable jobs cannot be had."""
         try:
             from eiderpin.fleet import ownership
@@ -155,11 +157,11 @@
             raise ConfigError(text) from None
         shared = self.config.inherited is not None
         try:
-            return ownership.Ownership(
+            return ownership.LedgerOwnership(
                 self.loop, self.core, self.workers, options, self.config.name, shared, self.say,
                 lambda text: logs.event(text, logging.ERROR),
             )  # fmt: skip
-        except ownership.UNREADABLE as error:
+        except ownership.LEDGER_ERRORS as error:
             raise ConfigError(f"durable.directory {options.folder}: {error}") from None
 
     def keep_store(self, options: StoreOptions) -> None:
@@ -189,7 +191,7 @@
                 from eiderpin.jobs import elsewhere
                 from eiderpin.parts import durable as job_options
 
-                self.core.job_manager = elsewhere.Elsewhere(job_options.Options("", options.outcomes))
+                self.core.job_manager = elsewhere.Elsewhere(job_options.DurableOptions("", options.outcomes))
             return
         except ValueError as error:
             raise ConfigError(str(error)) from None
@@ -202,12 +204,14 @@
             self.serve_observers(self.store, options)
         self.shared_state.on_fenced = self.changed
         source = self.discovery
-        self.shared_state.listed = lambda: source is None or source.has_answered
+        self.shared_state.has_worker_list = lambda: source is None or source.has_answered
         if options.outcomes:
-            from eiderpin.fleet.outcomes import Outcomes
+            from eiderpin.fleet.outcomes import OutcomeStore
 
-            life = self.shared_state.life
-            self.core.job_manager = Outcomes(self.store, self.core, options.outcomes, options.keep, life)
+            life = self.shared_state.incarnation
+            self.core.job_manager = OutcomeStore(
+                self.store, self.core, options.outcomes, options.keep_ms, life
+            )
 
     def serve_observers(self, store: StoreHost, options: StoreOptions) -> None:
         """Serve dispatchers that follow the store. Raises `ConfigError`."""
@@ -216,7 +220,7 @@
         assert options.observers is not None
         try:
             store.observers = ObserverServer(
-                self.loop, self.counters, store.member, options.observers, options.most_observers
+                self.loop, self.counters, store.member, options.observers, options.max_observers
             )
         except OSError as error:
             raise ConfigError(f"store.observers.listen: {error}") from None
@@ -302,9 +306,9 @@
             if self.drained or self.fenced
             else DrainScope.NONE
         )
-        self.http_front.drain_connections(whom, 0.0 if ending else SETTLE)
+        self.http_front.drain_connections(whom, 0.0 if ending else DRAIN_SETTLE_MS)
         if self.gearman is not None:
-            self.gearman.drain_connections(whom is not DrainScope.NONE, SETTLE)
+            self.gearman.drain_connections(whom is not DrainScope.NONE, DRAIN_SETTLE_MS)
         self.share_out()
 
     def share_out(self) -> None:
@@ -344,7 +348,7 @@
         """Whether another process has begun by our name in the store."""
         if self.control_plane is not None and self.control_plane.is_fenced:
             return True
-        return self.shared_state is not None and self.shared_state.fenced
+        return self.shared_state is not None and self.shared_state.is_fenced
 
     # -- what balancers and operators ask
 
@@ -355,7 +359,7 @@
             return self.handover.successor.readiness
         if self.drained or self.fenced or self.shutdown.begun:
             return "drain"
-        if self.ledger is not None and not self.ledger.ready:
+        if self.ledger is not None and not self.ledger.is_ready:
             return "down"
         if not self.serving or not any(e.in_service for e in self.core.endpoints.values()):
             return "down"
@@ -363,19 +367,19 @@
         free = 100 - 100 * len(self.core.requests) // most
         comeback = self.comeback
         if comeback is not None:  # one that comes back asks for less until it knows enough
-            free = free * comeback.share(self.clock.now()) // 100
+            free = free * comeback.traffic_percent(self.clock.now()) // 100
         return f"up {max(1, free)}%"
 
     @property
-    def comeback(self) -> Comeback | None:
+    def comeback(self) -> RejoinProgress | None:
         """The stages of our start, where we have a part in the store."""
         if self.control_plane is not None:
-            return self.control_plane.comeback
-        return self.shared_state.comeback if self.shared_state is not None else None
+            return self.control_plane.rejoin
+        return self.shared_state.rejoin if self.shared_state is not None else None
 
     def health(self) -> str:
         """What `/_health` says: the readiness, and how old what we know of the control plane is."""
-        detail = self.control_plane.detail() if self.control_plane is not None else ""
+        detail = self.control_plane.readiness_detail() if self.control_plane is not None else ""
         return self.readiness() + detail
 
     def ready(self) -> str:
@@ -385,7 +389,7 @@
         if self.store is not None and self.store.cut_off:
             state += ", cut off from the store"
         if self.control_plane is not None:
-            state += self.control_plane.detail()
+            state += self.control_plane.readiness_detail()
         comeback = self.comeback
         if comeback is not None and (stage := comeback.stage(self.clock.now()).value) != "whole":
             state += f", coming back: {stage}"
@@ -455,9 +459,9 @@
         if self.discovery is not None and new.discovery is not None:
             self.config.discovery = new.discovery
             self.discovery.change_address(new.discovery)
-        if self.listed is not None and new.workers is not None:
+        if self.static_list is not None and new.workers is not None:
             self.config.workers = new.workers
-            self.listed.update_workers(new.workers)
+            self.static_list.update_workers(new.workers)
         if self.store is not None or self.control_plane is not None:  # it follows those that are there
             now = self.config.settings
             new.settings.instances, new.settings.instance = now.instances, now.instance
@@ -471,7 +475,7 @@
         try:
             with open(path, "rb") as file:
                 own = configuration.parse(file.read(), toml=path.endswith(".toml"))
-            new = configuration.read_shared(own, text)
+            new = configuration.read_shared_config(own, text)
             if self.config.store is not None:
                 configuration.replace_file(configuration.last_shared(self.config), text)
         except (OSError, ConfigError) as error:
@@ -480,14 +484,14 @@
         self.counters.add("in.reloads")
         return self.take(new)
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the planned end has come to the exit."""
         return self.shutdown.is_over()
 
     def print_counters(self) -> None:
         """Print all counters on standard error, as SIGUSR1 asks for."""
         if self.control_plane is not None:
-            self.counters.counts["observer.age_ms"] = int(self.control_plane.observer.age)
+            self.counters.counts["observer.age_ms"] = int(self.control_plane.observer.age_ms)
         if self.discovery is not None:
             self.counters.counts["discovery.list_age_ms"] = int(self.discovery.list_age_ms)
         lines = ["counters", *self.counters.lines(), "end of counters"]
@@ -505,7 +509,7 @@
             self.begin()
         rests = self.serving and not begun and self.shutdown.handed_over_at is None
         if self.ledger is not None:
-            rests = self.ledger.turn() and rests
+            rests = self.ledger.run_turn() and rests
         self.loop.run_once(self.after_turn, 1000.0 if rests else 20.0)
 
     def after_turn(self) -> None:
@@ -522,7 +526,7 @@
         prints the counters."""
         self._take_signals()
         logs.event("listens", logging.INFO, **self.addresses())
-        while not self.over():
+        while not self.is_over():
             self.turn()
         if self.ledger is not None:
             self.ledger.close()
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -19,8 +19,8 @@
 from benchmarks.rig import ROOT
 from benchmarks.scale import bad_input
 from benchmarks.store_rig import Cluster, Process
-from eiderpin.cli.config import install
-from eiderpin.parts.store import address
+from eiderpin.cli.config import publish_config
+from eiderpin.parts.store import parse_address
 from eiderpin.store.client import Failed
 from eiderpin.store.fleet_view import documents, live_observers
 from eiderpin.store.names import OBSERVERS
@@ -121,7 +121,7 @@
 
 def ask_at(where: str, call: str) -> str:
     """One call at a management address."""
-    with socket.create_connection(address(where, "door"), 5.0) as sock:
+    with socket.create_connection(parse_address(where, "door"), 5.0) as sock:
         sock.sendall(call.encode() + b"\n")
         with sock.makefile() as file:
             return file.readline().strip()
@@ -146,7 +146,7 @@
             store = it.cluster.store_client(20.0)
             said = json.loads((it.observers["d1"].folder / "config.json").read_text())
             text = json.dumps({"settings": said["settings"], "workers": []}).encode()
-            self.assertEqual(install(store, text), 1)
+            self.assertEqual(publish_config(store, text), 1)
             wait_for(lambda: all("version 1 taken" in p.log() for p in it.observers.values()), "version 1")
 
             def shown() -> str:
@@ -164,7 +164,7 @@
             )
             self.assertEqual(listed.count("observer of m"), 2)
             worse = dict(said["settings"], tick=7.0)
-            install(store, json.dumps({"settings": worse, "workers": []}).encode())
+            publish_config(store, json.dumps({"settings": worse, "workers": []}).encode())
             lagging = "d1: version 2, restart needed: settings"
             wait_for(lambda: lagging in shown(), "the restart to be asked for")
             self.assertIn("in force at 0 of 5 dispatchers\n", shown())
@@ -302,7 +302,7 @@
 
     def test_hostile_clients_are_ended_and_nobody_else_notices(self) -> None:
         with fleet("d1", members=1) as it:
-            host, port = address(it.cluster.observer_addresses["m0"], "")
+            host, port = parse_address(it.cluster.observer_addresses["m0"], "")
             process = it.cluster.all["m0"]
             before = counters(process)
             for what, kind in (
