--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -27,6 +27,7 @@
 if TYPE_CHECKING:
     from eiderpin.store.observer_server import ObserverServer
 
+# Raised where the directory of a member cannot be used.
 UNREADABLE = (Locked, BadFormat, Damaged, OSError)
 DISK_RETRY_MS = 500.0  # between two attempts to write to a disk that has failed
 CUT_OFF_MS = 3000.0  # without a leader, after which a member counts as cut off
@@ -73,7 +74,7 @@
             warn: Logs a warning.
 
         Raises:
-            Locked, BadFormat, Damaged, OSError: The directory cannot be used (`UNREADABLE`).
+            UNREADABLE: The directory cannot be used; one of the errors of that tuple.
             ValueError: The directory belongs to another member.
         """
         self.loop, self.counters, self.options, self.say, self.warn = loop, counters, options, say, warn
--- a/eiderpin/store/raft.py
+++ b/eiderpin/store/raft.py
@@ -106,7 +106,7 @@
     and calls `record_persisted` when entries have reached the disk.
     """
 
-    max_append_bytes = MAX_APPEND_BYTES
+    max_append_bytes = MAX_APPEND_BYTES  # the simulation lowers it in a subclass
 
     def __init__(
         self, name: str, hard: HardState, snapshot: Snapshot, entries: Sequence[Entry], rng: random.Random,
--- a/tests/store_sim.py
+++ b/tests/store_sim.py
@@ -279,8 +279,8 @@
     def check_applied(self, name: str, index: int, term: int, data: bytes) -> None:
         """State-machine safety: all members apply the same command at an index."""
         known = self.applied.setdefault(index, (term, data))
-        at = self.running_member(name).raft.term  # it was committed in that term or before
-        self.applied_term[index] = min(at, self.applied_term.get(index, at))
+        latest_term = self.running_member(name).raft.term  # the entry was committed in it or before
+        self.applied_term[index] = min(latest_term, self.applied_term.get(index, latest_term))
         if known != (term, data):
             raise InvariantViolated(f"{name} applies {term, data} as entry {index}, another applied {known}")
 
@@ -638,8 +638,8 @@
                 raft.change_config(identity.with_members(config, {**config.voters, name: name}, learners))
             return
         if len(config.voters) > 3 or (len(config.voters) == 3 and rng.random() < 0.3):
-            gone = rng.choice(sorted(config.voters))
-            voters = {n: a for n, a in config.voters.items() if n != gone}
+            removed = rng.choice(sorted(config.voters))
+            voters = {n: a for n, a in config.voters.items() if n != removed}
             raft.change_config(identity.with_members(config, voters, {}))
         else:
             name = f"j{self.joined}"
@@ -689,35 +689,35 @@
             return
         member.raft.campaign(force=True)
         member.flush(world.now)
-        end = world.now + 60.0
+        deadline_ms = world.now + 60.0
 
         def check_elected() -> None:
-            now = self.member(name)
-            if now is not None and now.raft.role is Role.LEADER:
+            current = self.member(name)
+            if current is not None and current.raft.role is Role.LEADER:
                 on_elected()
-            elif world.now < end:
+            elif world.now < deadline_ms:
                 world.schedule(0.25, check_elected)
             else:
                 self.campaign(name, on_elected, attempts - 1)
 
         if name == self.rival:
-            self.block_after_vote(name, end)
+            self.block_after_vote(name, deadline_ms)
         check_elected()
 
-    def block_after_vote(self, name: str, end: float) -> None:
+    def block_after_vote(self, name: str, deadline_ms: float) -> None:
         """Once the third member has voted for the rival, keep the rival's own entry from being replicated."""
         third, rival = self.member(self.third), self.member(name)
-        if third is None or rival is None or self.world.now > end:
+        if third is None or rival is None or self.world.now > deadline_ms:
             return
         if third.raft.vote == name and third.raft.term == rival.raft.term:
             self.cut(name, [n for n in self.world.nodes if n != name], False)
         else:
-            self.world.schedule(0.25, lambda: self.block_after_vote(name, end))
+            self.world.schedule(0.25, lambda: self.block_after_vote(name, deadline_ms))
 
     def handle_rival_elected(self) -> None:
         world = self.world
-        dies = self.rng.uniform(4.0, 8.0)
-        world.schedule(dies, lambda: world.kill(self.rival) if self.member(self.rival) else None)
+        crash_delay_ms = self.rng.uniform(4.0, 8.0)
+        world.schedule(crash_delay_ms, lambda: world.kill(self.rival) if self.member(self.rival) else None)
         world.schedule(9.0, self.campaign_old_leader)
 
     def campaign_old_leader(self) -> None:
@@ -745,7 +745,7 @@
 class DoubleVote:
     """A voter crashes after it has voted, and another candidate requests its vote in the same term.
 
-    The two candidates are cut off from each other.
+    The second candidate receives nothing from the first.
     """
 
     def __init__(self, world: SimulatedCluster, rng: random.Random) -> None:
