--- a/eiderpin/store/member.py
+++ b/eiderpin/store/member.py
@@ -423,7 +423,7 @@
             Refused: There are too many watches.
         """
         if len(self.watches) >= MAX_WATCHES:
-            raise Refused(f"there are {MAX_WATCHES} watches already")
+            raise Refused(f"{MAX_WATCHES} watch already")
         watch = Watch(prefix, after + 1, notify)
         if after + 1 < self.store.oldest:
             raise Compacted(self.store.oldest)
@@ -455,7 +455,7 @@
             self._pending_commands.pop(key).complete(OutcomeUnknown("no word of it in time"))
         for context in [c for c, p in self._pending_changes.items() if p.deadline_ms <= now]:
             self._pending_changes.pop(context).on_done(
-                OutcomeUnknown("the change has not taken effect in time, but may do so later")
+                OutcomeUnknown("it has not come to be in time, but may yet")
             )
         for context in [c for c, p in self._pending_reads.items() if p.deadline_ms <= now]:
             self._pending_reads.pop(context).on_done(
--- a/eiderpin/store/raft.py
+++ b/eiderpin/store/raft.py
@@ -240,12 +240,12 @@
         if self.log.term(self.commit) != self.term:
             # Before it has committed an entry of its own term, the quorums of its change and of an earlier
             # leader's change need not overlap.
-            raise Refused("this leader has just begun; try again in a moment")
+            raise Refused("this leader has just begun; again in a moment")
         changed = set(old.voters) ^ set(config.voters)
         if len(changed) > 1:
-            raise Refused("one voter at a time may be added or removed")
+            raise Refused("one voter at a time may come or go")
         if not config.voters:
-            raise Refused("the last voter can't be removed")
+            raise Refused("the last voter can't go")
         reachable = [
             n
             for n in config.voters
