--- a/eiderpin/durable/log.py
+++ b/eiderpin/durable/log.py
@@ -80,7 +80,7 @@
             self.flusher.put(batch)
 
     @property
-    def wants_checkpoint(self) -> bool:
+    def needs_checkpoint(self) -> bool:
         return self.failed is None and self._bytes >= self.checkpoint_bytes
 
     def checkpoint(self, records: Iterable[Record]) -> None:
--- a/eiderpin/jobs/__init__.py
+++ b/eiderpin/jobs/__init__.py
@@ -1,2 +1,6 @@
-"""Durable jobs: `records` what is written, `ledger` the rules (pure), `keeper` ties them to the core and a
-log."""
+"""Durable jobs.
+
+`records` defines the stored records, `ledger` the rules (pure), `keeper` the job manager that connects the
+ledger to the core and to a log, `recovery` the restart, `elsewhere` the stand-in while another process owns
+the ledger.
+"""
--- a/eiderpin/jobs/elsewhere.py
+++ b/eiderpin/jobs/elsewhere.py
@@ -1,4 +1,7 @@
-"""While the process before us still owns the ledger: durable jobs are turned down here, all others served."""
+"""The job manager's stand-in while another process owns the ledger.
+
+Durable jobs are rejected here meanwhile, and all others are served.
+"""
 
 from __future__ import annotations
 
@@ -10,37 +13,50 @@
 
 
 class UnavailableJobManager:
-    """Implements `core.durability.DurableJobManager` for jobs that it never takes."""
+    """Implements `core.durability.DurableJobManager`; accepts no job."""
 
     def __init__(self, options: DurableOptions) -> None:
+        """`options.classes` are the classes whose jobs are rejected."""
         self.options = options
 
     def covers_class(self, cls: str) -> bool:
+        """Return whether jobs of this class are durable."""
         return cls in self.options.classes
 
     def stored_answer(self, request: Request) -> Answer | None:
-        return None  # the owner knows, and a turn-down promises nothing
+        """Return None: only the owner has the stored answers, and a rejection promises nothing."""
+        return None
 
-    def deliver_stored_answer(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
-        tell(answer)
+    def deliver_stored_answer(
+        self, request: Request, answer: Answer, deliver: Callable[[Answer], None]
+    ) -> None:
+        """Deliver the answer at once."""
+        deliver(answer)
 
     def accept(self, request: Request) -> bool:
+        """Accept no job."""
         return False
 
     def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
+        """Call `call` with False: nothing is written here."""
         call(False)
 
     def lease(self, attempt: Attempt, send: Callable[[], None]) -> None:
-        raise AssertionError("no job is taken here")
+        """Raise `AssertionError`: without a job there is no attempt."""
+        raise AssertionError("a lease is asked for, and no durable job is accepted here")
 
     def renew(self, attempt: Attempt) -> None:
-        """None is leased here."""
+        """Do nothing: there are no leases."""
 
     def released(self, attempt: Attempt, outcome: Outcome) -> None:
-        """None is leased here."""
+        """Do nothing: there are no leases."""
 
-    def end(self, request: Request, answer: Answer, told: bool, tell: Callable[[Answer], None]) -> None:
-        tell(answer)
+    def end(
+        self, request: Request, answer: Answer, is_answered: bool, deliver: Callable[[Answer], None]
+    ) -> None:
+        """Deliver the answer at once."""
+        deliver(answer)
 
     def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
+        """Return False: no job is known here."""
         return False
--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -1,5 +1,7 @@
-"""Durable jobs in a running dispatcher: between the core, the ledger and its log. All in the loop's
-thread."""
+"""The job manager of a running dispatcher: connects the core, the ledger of durable jobs and its log.
+
+All of it runs in the event loop's thread.
+"""
 
 from __future__ import annotations
 
@@ -18,23 +20,23 @@
 from eiderpin.durable.frames import Record
 from eiderpin.durable.log import Log, LogNotWritableError
 from eiderpin.jobs import records
-from eiderpin.jobs.ledger import Ledger, MayNotRun, asks_same
+from eiderpin.jobs.ledger import JobNotRunnableError, Ledger, is_same_job
 from eiderpin.jobs.records import Accepted, AnyRecord, Ended, Opened, Released
 from eiderpin.parts.durable import DurableOptions
 
 log = logging.getLogger("eiderpin")
 
-TRY_AGAIN = 500.0  # ms between looks whether a failed disk has come back
-TELL_BEFORE = 2.0  # ms before a job's deadline at which a client hears, whatever the disk does
-EXPIRE_RECORDS = 4096  # records read between looks at what need not be kept
-BOOT_ID = "/proc/sys/kernel/random/boot_id"
-EXPIRE_EVERY = 1000.0  # ms between looks for answers that need not be kept any longer
+DISK_RETRY_MS = 500.0  # between attempts to write to a failed disk
+ANSWER_MARGIN_MS = 2.0  # before a job's deadline, at which its client is answered even if the disk is stuck
+RECORDS_PER_EXPIRY = 4096  # records read at a start between two expiries of stored answers
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
+EXPIRY_INTERVAL_MS = 1000.0  # between expiries of stored answers
 
 
-def boot_id() -> str:
-    """What tells this boot of the machine from any other; empty where it does not say."""
+def read_boot_id() -> str:
+    """Return the id of the machine's current boot; empty if it cannot be read."""
     try:
-        with open(BOOT_ID) as file:
+        with open(BOOT_ID_PATH) as file:
             return file.read().strip()
     except OSError:
         return ""
@@ -50,147 +52,173 @@
     def __init__(
         self, core: Dispatcher, options: DurableOptions, name: str, files: Files | None = None
     ) -> None:
+        """Lock the ledger's directory, read the ledger and write that this process owns it.
+
+        `name` is the dispatcher's; `files` replaces the files of `options.folder`.
+        """
         self.core, self.options, self.name = core, options, name
-        single = {c.name for c in core.settings.classes if c.repeat is not api.Repeat.FREE}
-        self.single = tuple(sorted(single & options.classes))
+        not_repeatable = {c.name for c in core.settings.classes if c.repeat is not api.Repeat.FREE}
+        self.single_run_classes = tuple(sorted(not_repeatable & options.classes))
         self.ledger = Ledger(
-            frozenset(self.single),
+            frozenset(self.single_run_classes),
             options.keep_ms,
             options.max_answers,
             int(options.max_results_mb * (1 << 20)),
         )
         files = files if files is not None else Files(options.folder)
-        self._read = 0
-        self.log = Log(files, self.read)
-        self.boot = boot_id()
-        self.ahead = self._ahead()
+        self._read_count = 0
+        self.log = Log(files, self.apply_stored)
+        self.boot_id = read_boot_id()
+        self.clock_offset_ms = self._clock_offset()
         self.recovered = False
-        self.behind: set[int] = set()  # jobs of which the disk does not hold all, since it had failed
-        self._silences: dict[Attempt, Deadline] = {}
-        self._held: dict[int, int] = {}  # job to how many of its records are not known to be on disk
-        self._unwritten: set[int] = set()  # jobs whose taking on the disk has refused
-        self._waits: dict[int, list[Callable[[bool], None]]] = {}
-        self.put(self.opened(self.ledger.term + 1))
-        self.expire()
-
-    def _ahead(self) -> float:
-        """ms by which the ledger's time is ahead of the core's, so that it goes on from where it was: by the
-        machine's steady clock while that is the last owner's, for the wall clock may have stepped meanwhile.
-        A step back gives no job more time than it had, a step forward takes none from it, nor a kept answer
-        from one who asks again."""
+        self.incomplete_jobs: set[int] = set()  # jobs with records that a failed disk has not taken
+        self._lease_timers: dict[Attempt, Deadline] = {}
+        self._pending_records: dict[int, int] = {}  # by job: records not known to be on disk
+        self._refused_jobs: set[int] = set()  # jobs whose acceptance could not be written
+        self._callbacks: dict[int, list[Callable[[bool], None]]] = {}  # by job: run when it is on disk
+        self.write_record(self.ownership_record(self.ledger.term + 1))
+        self.expire_answers()
+
+    def _clock_offset(self) -> float:
+        """Return how far (ms) the ledger's time is ahead of the core's clock.
+
+        The ledger's time continues from the last owner's by the machine's monotonic clock, if the machine has
+        not booted since, because the wall clock may have been set meanwhile. So a wall clock that was set
+        back gives no job more time, and one that was set forward neither shortens a deadline nor expires a
+        stored answer that a client may still ask for.
+        """
         clock, ledger = self.core.clock, self.ledger
-        continued = ledger.time_at(self.boot, clock.since_boot())
+        continued = ledger.time_at(self.boot_id, clock.since_boot())
         is_known = ledger.since_boot_at(ledger.last_at) > 0 and continued > ledger.last_at
         return continued - clock.now() if is_known else max(0.0, ledger.last_at - clock.now())
 
-    def opened(self, term: int) -> Opened:
-        """The record by which we own the ledger in this term."""
-        return Opened(self.now(), term, self.name, self.single, self.boot, self.core.clock.since_boot())
+    def ownership_record(self, term: int) -> Opened:
+        """Return the record by which this process owns the ledger in this term."""
+        return Opened(
+            self.now(), term, self.name, self.single_run_classes, self.boot_id, self.core.clock.since_boot()
+        )
 
     def now(self) -> float:
-        """The ledger's time: the core's, but never behind what has been written."""
-        return self.core.clock.now() + self.ahead
+        """Return the ledger's time (ms of Unix time), which is never behind that of a stored record."""
+        return self.core.clock.now() + self.clock_offset_ms
 
-    def read(self, record: Record) -> None:
-        """Take one record of the ledger in, in the order in which they were written."""
+    def apply_stored(self, record: Record) -> None:
+        """Apply one record of the stored ledger; they come in the order in which they were written."""
         self.ledger.apply(records.unpack(record))
-        self._read += 1
-        if self._read % EXPIRE_RECORDS == 0:
+        self._read_count += 1
+        if self._read_count % RECORDS_PER_EXPIRY == 0:
             self.ledger.expire(self.ledger.last_at)  # a long ledger must not be held in memory whole
 
     # -- writing
 
-    def put(self, record: AnyRecord, told: Callable[[bool], None] | None = None) -> None:
-        """Apply a record and have it written. Raises `LogNotWritableError`, and has then changed nothing."""
+    def write_record(self, record: AnyRecord, on_written: Callable[[bool], None] | None = None) -> None:
+        """Apply a record and append it to the log; `on_written` learns whether it is on disk.
+
+        Raises `LogNotWritableError` without any change if the disk has failed.
+        """
         if self.log.failed is not None:
             raise LogNotWritableError(str(self.log.failed))
         self.ledger.apply(record)
         packed = records.pack(record)
-        self.log.append(packed.kind, packed.version, packed.body, told)
-        if self.log.wants_checkpoint:
+        self.log.append(packed.kind, packed.version, packed.body, on_written)
+        if self.log.needs_checkpoint:
             self.log.checkpoint(self.snapshot())
 
     def snapshot(self) -> Iterator[Record]:
-        """All that holds now, as it is written. The records are gathered here; whoever writes them packs
-        them, so that the loop does not stand still for a long ledger."""
+        """Return the ledger's current state as log records.
+
+        The records are collected here and packed by whoever writes them, so that a long ledger does not block
+        the loop.
+        """
         return records.pack_all(list(self.ledger.snapshot()))
 
     @property
     def failed(self) -> bool:
-        """Whether the disk takes nothing at the moment."""
+        """Whether the disk has failed and cannot be written now."""
         return self.log.failed is not None
 
     def settle(self) -> None:
-        """Called by the loop when the flusher has something to tell."""
-        failed = self.log.failed
+        """Run the callbacks of written records; the loop calls this when the log is readable."""
+        was_failed = self.log.failed
         self.log.settle()
-        if failed is None and self.log.failed is not None:
+        if was_failed is None and self.log.failed is not None:
             self.core.counters.add("ledger.failed")
-            text = "the disk of durable jobs takes nothing, they are turned down: %s"
+            text = "the disk of durable jobs cannot be written, such jobs are rejected: %s"
             log.error(text, self.log.failed)
-            self.look_again()
+            self.retry_disk()
 
-    def look_again(self) -> None:
-        """A failed disk is tried until it takes all that holds; what waits for it then is told."""
+    def retry_disk(self) -> None:
+        """Try to rewrite the ledger to a failed disk, and again after `DISK_RETRY_MS` until that succeeds."""
         deadlines, clock = self.core.deadlines, self.core.clock
         if self.log.finish_rewrite():
-            # What has happened since the snapshot that brought it back is not in that one.
+            # The rewritten ledger lacks what has happened since its snapshot was taken.
             self.log.checkpoint(self.snapshot())
-            self.put(self.opened(self.ledger.term), self.back)
+            self.write_record(self.ownership_record(self.ledger.term), self.on_disk_recovered)
             return
         self.log.start_rewrite(self.snapshot())
-        deadlines.set(clock.now() + TRY_AGAIN, self.look_again)
+        deadlines.set(clock.now() + DISK_RETRY_MS, self.retry_disk)
 
-    def back(self, ok: bool) -> None:
+    def on_disk_recovered(self, ok: bool) -> None:
+        """Run the callbacks that waited for the disk, now that the whole ledger is on it."""
         if not ok:
-            return  # it has failed again, and `settle` sees to that
-        self.behind.clear()
+            return  # it has failed again, and `settle` starts the next retry
+        self.incomplete_jobs.clear()
         self.core.counters.add("ledger.came_back")
         log.info("the disk of durable jobs is back")
-        waits, self._waits = self._waits, {}
-        for number, calls in waits.items():
-            if number in self._held:
-                self._waits[number] = calls
+        by_job, self._callbacks = self._callbacks, {}
+        for job, callbacks in by_job.items():
+            if job in self._pending_records:
+                self._callbacks[job] = callbacks
                 continue
-            for call in calls:
-                call(True)
+            for callback in callbacks:
+                callback(True)
 
-    def expire(self) -> None:
+    def expire_answers(self) -> None:
+        """Remove the stored answers that are too old or too many, and schedule the next expiry."""
         self.ledger.expire(self.now())
-        self.core.deadlines.set(self.core.clock.now() + EXPIRE_EVERY, self.expire)
+        self.core.deadlines.set(self.core.clock.now() + EXPIRY_INTERVAL_MS, self.expire_answers)
 
     def is_idle(self) -> bool:
-        """Whether nobody waits for the disk."""
-        return not self._waits and not self._held
+        """Return whether nothing waits for the disk."""
+        return not self._callbacks and not self._pending_records
 
     # -- what the core asks
 
     def covers_class(self, cls: str) -> bool:
+        """Return whether jobs of this class are durable."""
         return cls in self.options.classes
 
     def stored_answer(self, request: Request) -> Answer | None:
+        """Return the stored answer of the ended job of this name, if there is one.
+
+        Raises `JobMismatchError` if that job had another target or body.
+        """
         job = self.ledger.find(request.cls, request.unique) if request.unique else None
         if job is None or job.ended is None:
             return None
         if job.ended.at + self.options.keep_ms <= self.now():
             return None
-        if not asks_same(job.accepted, request.target, request.body):
+        if not is_same_job(job.accepted, request.target, request.body):
             raise JobMismatchError
         served = job.ended.verdict == Verdict.SERVED.value
         return Answer(Verdict.SERVED, job.ended.result) if served else Answer(Verdict.FAILED)
 
     def accept(self, request: Request) -> bool:
+        """Store a new job; return False if the disk has failed.
+
+        If the write fails later, the request is rejected.
+        """
         now = self.now()
-        number = self.ledger.next_job()
+        job = self.ledger.next_job()
         record = Accepted(
             now,
-            number,
+            job,
             request.cls,
             request.unique,
             request.wire_id,
             request.target,
             request.body,
-            request.deadline + self.ahead,
+            request.deadline + self.clock_offset_ms,
             request.slots,
             request.memory,
             request.tenant,
@@ -202,83 +230,85 @@
         )
         if self.failed:
             return False
-        held = self.hold(number)
+        on_record_written = self.track_record(job)
 
-        def told(ok: bool) -> None:
-            held(ok)
+        def on_written(ok: bool) -> None:
+            on_record_written(ok)
             if not ok:
-                # It never counted as taken on, and nothing of it was sent: this may be said at once.
-                self._unwritten.add(number)
-                for call in self._waits.pop(number, ()):
-                    call(False)
+                # The job was never acknowledged or sent, so it can be rejected at once.
+                self._refused_jobs.add(job)
+                for callback in self._callbacks.pop(job, ()):
+                    callback(False)
                 self.core.reject(request)
 
-        self.put(record, told)
-        request.job = number
+        self.write_record(record, on_written)
+        request.job = job
         return True
 
-    def hold(self, number: int) -> Callable[[bool], None]:
-        """Note that a record of this job is on its way to the disk; the call notes that it is there."""
-        self._held[number] = self._held.get(number, 0) + 1
+    def track_record(self, job: int) -> Callable[[bool], None]:
+        """Count a record of this job as pending; the returned function takes whether it was written."""
+        self._pending_records[job] = self._pending_records.get(job, 0) + 1
 
-        def told(ok: bool) -> None:
+        def on_written(ok: bool) -> None:
             if not ok:
-                self.behind.add(number)
-            left = self._held[number] - 1
-            if left:
-                self._held[number] = left
+                self.incomplete_jobs.add(job)
+            pending = self._pending_records[job] - 1
+            if pending:
+                self._pending_records[job] = pending
                 return
-            del self._held[number]
-            if number not in self.behind:  # else they wait until the disk has come back
-                for call in self._waits.pop(number, ()):
-                    call(True)
+            del self._pending_records[job]
+            if job not in self.incomplete_jobs:  # else the callbacks wait until the disk has recovered
+                for callback in self._callbacks.pop(job, ()):
+                    callback(True)
 
-        return told
+        return on_written
 
     def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
-        if request.job not in self._held and request.job not in self.behind:
+        """Call `call` once all records of the job are on disk (True) or cannot be written (False)."""
+        if request.job not in self._pending_records and request.job not in self.incomplete_jobs:
             call(True)
         else:
-            self._waits.setdefault(request.job, []).append(call)
+            self._callbacks.setdefault(request.job, []).append(call)
 
     def lease(self, attempt: Attempt, send: Callable[[], None]) -> None:
+        """Write an attempt's lease and call `send` once it is on disk; never if it cannot be written."""
         request, endpoint = attempt.request, attempt.endpoint
         link = "gearman" if endpoint.listed.shape == "gearman" else "http"
         address = f"{endpoint.address[0]}:{endpoint.address[1]}" if link == "http" else ""
 
-        def told(ok: bool) -> None:
-            held(ok)
+        def on_written(ok: bool) -> None:
+            on_record_written(ok)
             if attempt.ended:
-                return  # called off while it waited; that has been written
+                return  # cancelled while it waited for the disk; its release has been written
             if ok:
-                self.watch(attempt)
+                self.start_lease_timer(attempt)
                 send()
             else:
                 self.core.ended(attempt, api.Outcome.NOT_SENT)
 
         try:
             record = self.ledger.lease(request.job, attempt.number, endpoint.name, self.now(), link, address)
-        except MayNotRun as error:
-            must(False, f"the ledger allows what the decisions send: {error}")
+        except JobNotRunnableError as error:
+            must(False, f"the ledger allows each attempt that the decisions make: {error}")
             self.core.ended(attempt, api.Outcome.NOT_SENT)
             return
         if self.failed:
             self.core.ended(attempt, api.Outcome.NOT_SENT)
             return
-        held = self.hold(request.job)
+        on_record_written = self.track_record(request.job)
         attempt.leased = True
-        self.put(record, told)
+        self.write_record(record, on_written)
 
-    def watch(self, attempt: Attempt) -> None:
-        """Its worker must tell of it within a while, again and again; else the lease is over."""
+    def start_lease_timer(self, attempt: Attempt) -> None:
+        """Start or restart the lease's time-out: its worker must report within `silence_ms`."""
         deadlines = self.core.deadlines
-        deadlines.drop(self._silences.pop(attempt, None))
+        deadlines.drop(self._lease_timers.pop(attempt, None))
         at = self.core.clock.now() + self.options.silence_ms
-        self._silences[attempt] = deadlines.set(at, lambda: self.silent(attempt))
+        self._lease_timers[attempt] = deadlines.set(at, lambda: self.expire_lease(attempt))
 
-    def silent(self, attempt: Attempt) -> None:
-        """What holds now follows from the class: the decisions are told of a reset."""
-        self._silences.pop(attempt, None)
+    def expire_lease(self, attempt: Attempt) -> None:
+        """End an attempt whose worker has been silent as a reset; its class decides on a retry."""
+        self._lease_timers.pop(attempt, None)
         if not attempt.ended:
             self.core.counters.add("ledger.leases_expired")
             log.warning(
@@ -289,83 +319,103 @@
             self.core.ended(attempt, api.Outcome.RESET)
 
     def renew(self, attempt: Attempt) -> None:
-        if attempt in self._silences:
-            self.watch(attempt)
+        """Renew an attempt's lease, since its worker has reported progress."""
+        if attempt in self._lease_timers:
+            self.start_lease_timer(attempt)
 
     def released(self, attempt: Attempt, outcome: api.Outcome) -> None:
+        """Note that an attempt has ended without a result, which releases its lease."""
         request = attempt.request
-        self.core.deadlines.drop(self._silences.pop(attempt, None))
+        self.core.deadlines.drop(self._lease_timers.pop(attempt, None))
         if not attempt.leased or outcome is api.Outcome.DONE or request.job not in self.ledger.jobs:
-            return  # a result is the job's end, and says all
+            return  # a result ends the job, whose end record needs no release before it
         ran = attempt.may_have_run and not outcome.never_ran
         record = Released(self.now(), request.job, attempt.number, ran, outcome.value)
-        self.write_or_remember(record, request.job)
+        self.write_or_apply(record, request.job)
 
-    def write_or_remember(self, record: AnyRecord, job: int) -> None:
-        """What has happened has happened: with the disk away, the ledger knows, and writes it when that is
-        back."""
+    def write_or_apply(self, record: AnyRecord, job: int) -> None:
+        """Write a record of something that has happened.
+
+        While the disk has failed, it is only applied to the ledger; the rewrite after the recovery stores it.
+        """
         if self.failed:
             self.ledger.apply(record)
-            self.behind.add(job)
+            self.incomplete_jobs.add(job)
         else:
-            self.put(record, self.hold(job))
+            self.write_record(record, self.track_record(job))
+
+    def end(
+        self, request: Request, answer: Answer, is_answered: bool, deliver: Callable[[Answer], None]
+    ) -> None:
+        """Write a job's end and then pass its answer to `deliver`, or a failure if its deadline comes first.
 
-    def end(self, request: Request, answer: Answer, told: bool, tell: Callable[[Answer], None]) -> None:
+        `is_answered`: a client waits for this answer.
+        """
         if request.job in self.ledger.jobs:
-            record = Ended(self.now(), request.job, answer.verdict.value, answer.result, told)
-            self.write_or_remember(record, request.job)
-        self.tell_when_kept(request.job, request.deadline, answer, tell)
+            record = Ended(self.now(), request.job, answer.verdict.value, answer.result, is_answered)
+            self.write_or_apply(record, request.job)
+        self.deliver_when_durable(request.job, request.deadline, answer, deliver)
 
-    def deliver_stored_answer(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
+    def deliver_stored_answer(
+        self, request: Request, answer: Answer, deliver: Callable[[Answer], None]
+    ) -> None:
+        """Pass a stored answer to `deliver`, once it is on disk that a client has been answered."""
         job = self.ledger.find(request.cls, request.unique)
         if job is None or job.ended is None:
-            tell(answer)
+            deliver(answer)
             return
         number = job.accepted.job
         if not job.ended.told:
-            # From here on no late result may say otherwise.
-            self.write_or_remember(msgspec.structs.replace(job.ended, told=True), number)
-        self.tell_when_kept(number, request.deadline, answer, tell)
+            # From here on no late result may replace this answer.
+            self.write_or_apply(msgspec.structs.replace(job.ended, told=True), number)
+        self.deliver_when_durable(number, request.deadline, answer, deliver)
 
-    def tell_when_kept(
-        self, number: int, deadline: float, answer: Answer, tell: Callable[[Answer], None]
+    def deliver_when_durable(
+        self, job: int, deadline: float, answer: Answer, deliver: Callable[[Answer], None]
     ) -> None:
-        """Tell it once all that is known of the job is on disk. At the deadline a failure is told instead: it
-        promises nothing of what has happened."""
-        if number in self._unwritten or not (number in self._held or number in self.behind):
-            self._unwritten.discard(number)
-            tell(answer)
+        """Deliver an answer once all records of the job are on disk.
+
+        At the deadline a failure is delivered instead: it promises nothing about what has happened.
+        """
+        if job in self._refused_jobs or not (job in self._pending_records or job in self.incomplete_jobs):
+            self._refused_jobs.discard(job)
+            deliver(answer)
             return
-        guard: Deadline | None = None
+        timer: Deadline | None = None
 
-        def once(answer: Answer) -> None:
-            nonlocal tell
-            self.core.deadlines.drop(guard)
-            call, tell = tell, _nobody
-            call(answer)
+        def deliver_once(answer: Answer) -> None:
+            nonlocal deliver
+            self.core.deadlines.drop(timer)
+            callback, deliver = deliver, _ignore_answer
+            callback(answer)
 
-        at = max(deadline - TELL_BEFORE, self.core.clock.now())
-        guard = self.core.deadlines.set(at, lambda: once(Answer(Verdict.FAILED)))
-        self._waits.setdefault(number, []).append(lambda ok: once(answer))
+        at = max(deadline - ANSWER_MARGIN_MS, self.core.clock.now())
+        timer = self.core.deadlines.set(at, lambda: deliver_once(Answer(Verdict.FAILED)))
+        self._callbacks.setdefault(job, []).append(lambda ok: deliver_once(answer))
 
     def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
-        job = self.ledger.by_wire(wire_id)
-        if job is None or not any(x.leased.worker == worker for x in job.leases):
+        """Handle a worker's report on a job that is no longer running; return whether the job is known.
+
+        A late result replaces a failure that no client has received.
+        """
+        job = self.ledger.find_by_wire_id(wire_id)
+        if job is None or not any(lease.leased.worker == worker for lease in job.leases):
             return False
         ended = job.ended
         if state == "done" and ended is not None and not ended.told and ended.verdict != "succeeded":
             self.core.counters.add("ledger.late_results")
             log.info("a late result is kept", extra={"job": wire_id, "worker": worker})
             record = Ended(self.now(), job.accepted.job, Verdict.SERVED.value, result, False)
-            self.write_or_remember(record, job.accepted.job)
+            self.write_or_apply(record, job.accepted.job)
         return True
 
     def close(self) -> None:
+        """Write what was appended, release the ledger and add the log's totals to the counters."""
         self.log.close()
         flusher = self.log.flusher
         for name in ("records", "commits", "bytes", "checkpoints", "largest"):
             self.core.counters.add(f"ledger.{name}", getattr(flusher, name))
 
 
-def _nobody(answer: Answer) -> None:
-    """It has been told already."""
+def _ignore_answer(answer: Answer) -> None:
+    """Replaces the callback of an answer that has been delivered."""
--- a/eiderpin/jobs/recovery.py
+++ b/eiderpin/jobs/recovery.py
@@ -1,4 +1,4 @@
-"""After a start: the ledger's open jobs become requests again, and the decisions learn what they hold."""
+"""Recovery at a start: the ledger's open jobs become requests again, and the decisions adopt them."""
 
 from __future__ import annotations
 
@@ -7,50 +7,56 @@
 from eiderpin.core.requests import Attempt, Endpoint, Request, Verdict, WorkerLink
 from eiderpin.core.slot_table import TableFull
 from eiderpin.jobs.keeper import JobManager
-from eiderpin.jobs.ledger import Job, Lease, Step
+from eiderpin.jobs.ledger import Job, Lease, RecoveryStep
 from eiderpin.jobs.records import Ended, Released
 
 
-def recover(keeper: JobManager, core: Dispatcher, workers: WorkerLink) -> dict[Step, int]:
-    """To be called once, when the workers are known as far as they will be; `workers` is the link of those
-    that are reached by HTTP. Returns how many jobs took each way."""
-    now = keeper.now()
-    for job in list(keeper.ledger.jobs.values()):
-        for lease in job.out:
+def recover(job_manager: JobManager, core: Dispatcher, workers: WorkerLink) -> dict[RecoveryStep, int]:
+    """Recover all open jobs; return how many took each step.
+
+    To be called once, when the workers are known as far as they will be. `workers` is the link to the workers
+    that are reached by HTTP.
+    """
+    now = job_manager.now()
+    for job in list(job_manager.ledger.jobs.values()):
+        for lease in job.active_leases:
             if lease.leased.link != "http" and job.ended is None:
-                # Its end would have come on a connection that ended with the process that held the lease.
-                keeper.write_or_remember(
+                # Its result would have come on a connection that closed with the process that held the lease.
+                job_manager.write_or_apply(
                     Released(now, job.accepted.job, lease.leased.attempt, True, "its connection is gone"),
                     job.accepted.job,
                 )
-    done = dict.fromkeys(Step, 0)
-    for step, job in keeper.ledger.plan(now):
+    counts = dict.fromkeys(RecoveryStep, 0)
+    for step, job in job_manager.ledger.plan_recovery(now):
         try:
-            if step is Step.LATE or job.accepted.cls not in core.classes:
+            if step is RecoveryStep.LATE or job.accepted.cls not in core.classes:
                 raise TableFull
-            _bring_back(keeper, core, workers, job)
+            _restore_request(job_manager, core, workers, job)
         except TableFull:
-            step = Step.LATE
+            step = RecoveryStep.LATE
             ended = Ended(now, job.accepted.job, Verdict.FAILED.value, told=False)
-            keeper.write_or_remember(ended, job.accepted.job)
-        done[step] += 1
+            job_manager.write_or_apply(ended, job.accepted.job)
+        counts[step] += 1
         core.counters.add(f"ledger.recovered.{step.value}")
-    keeper.recovered = True
-    return done
+    job_manager.recovered = True
+    return counts
 
 
-def _bring_back(keeper: JobManager, core: Dispatcher, workers: WorkerLink, job: Job) -> None:
-    a, now = job.accepted, core.clock.now()
-    # A leased one whose deadline has passed may still be told of: its worker goes on trying for a while.
-    soonest = now + keeper.options.silence_ms if job.out else now
+def _restore_request(job_manager: JobManager, core: Dispatcher, workers: WorkerLink, job: Job) -> None:
+    """Rebuild a job's request with its attempts, and have the decisions adopt it. Raises `TableFull`."""
+    accepted, now = job.accepted, core.clock.now()
+    # The worker of a leased job retries its report for a while, so the job waits for it past its deadline.
+    earliest_deadline = now + job_manager.options.silence_ms if job.active_leases else now
     request = Request(
-        a.cls, a.unique, a.target, a.body, max(a.deadline - keeper.ahead, soonest), a.slots, a.memory,
-        a.tenant, a.key, a.hint, priority=a.priority, background=True, job=a.job, wire_id=a.wire_id,
-        idempotency_key=a.idempotency_key,
+        accepted.cls, accepted.unique, accepted.target, accepted.body,
+        max(accepted.deadline - job_manager.clock_offset_ms, earliest_deadline), accepted.slots,
+        accepted.memory, accepted.tenant, accepted.key, accepted.hint, priority=accepted.priority,
+        background=True, job=accepted.job, wire_id=accepted.wire_id,
+        idempotency_key=accepted.idempotency_key,
     )  # fmt: skip
     for lease in job.leases:
-        endpoint = _entry_of(core, workers, lease)
-        while len(request.attempts) < lease.leased.attempt:  # made, and never leased
+        endpoint = _endpoint_of_lease(core, workers, lease)
+        while len(request.attempts) < lease.leased.attempt:  # attempts that were made and never leased
             request.attempts.append(Attempt(request, len(request.attempts), endpoint, now, 0.0, ended=True))
         request.attempts.append(
             Attempt(
@@ -59,9 +65,9 @@
                 endpoint,
                 now,
                 request.deadline - now,
-                lease.out,
+                lease.is_active,
                 lease.may_have_run,
-                not lease.out,
+                not lease.is_active,
                 True,
             )
         )
@@ -69,33 +75,37 @@
         core.take_over(request, None)
     except ValueError:
         raise TableFull from None
-    asked = core.decision_request(request)
-    out = [s for s in request.attempts if not s.ended]
-    spec = core.classes[request.cls]
-    # Taken on, it is wanted until its deadline: the time that we were down must not make it hopeless.
+    decision_request = core.decision_request(request)
+    running = [attempt for attempt in request.attempts if not attempt.ended]
+    request_class = core.classes[request.cls]
+    # An accepted job is worth running until its deadline: the time that the dispatcher was down must not
+    # make it look hopeless.
     standing = api.Standing(
-        request.deadline - now, request.hint or spec.aim, len(request.attempts),
-        [(s.number, 0.0, -1.0) for s in out], [s.endpoint.name for s in out], [],
+        request.deadline - now, request.hint or request_class.aim, len(request.attempts),
+        [(attempt.number, 0.0, -1.0) for attempt in running], [attempt.endpoint.name for attempt in running],
+        [],
     )  # fmt: skip
-    core.add_event(api.Adopted(asked, standing))
-    for attempt in out:
-        keeper.watch(attempt)
+    core.add_event(api.Adopted(decision_request, standing))
+    for attempt in running:
+        job_manager.start_lease_timer(attempt)
+
 
+def _endpoint_of_lease(core: Dispatcher, workers: WorkerLink, lease: Lease) -> Endpoint:
+    """Return the endpoint of the worker that holds the lease.
 
-def _entry_of(core: Dispatcher, workers: WorkerLink, lease: Lease) -> Endpoint:
-    """The worker that holds the lease. One that is not listed (any more) gets nothing new, but may call
-    back."""
+    A worker that is not listed (any more) is added as draining: it gets no new jobs, but may still report.
+    """
     leased = lease.leased
     known = core.endpoints.get(leased.worker)
     if known is not None and known.link is workers:
         return known
     host, _, port = leased.address.rpartition(":")
-    away = api.WorkerEntry(leased.worker, "", "", -1, api.WorkerState.DRAINING)
+    draining = api.WorkerEntry(leased.worker, "", "", -1, api.WorkerState.DRAINING)
     address = (host, int(port)) if port.isdigit() else ("", 0)
-    if not lease.out:
-        # Its name may be another's by now: Gearman workers are numbered anew by each process.
-        return Endpoint(away, address, workers, core.clock.now())
+    if not lease.is_active:
+        # Its name may be another worker's by now: each process numbers its Gearman workers anew.
+        return Endpoint(draining, address, workers, core.clock.now())
     if known is not None:
         return known  # listed by another source under the same name
-    core.apply_worker_list(workers, api.ListKind.CHANGES, [(away, address)])
+    core.apply_worker_list(workers, api.ListKind.CHANGES, [(draining, address)])
     return core.endpoints[leased.worker]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,8 @@
-"""The ledger's rules against a plain model, and its protocol explored to the last state."""
+"""Tests of the ledger's rules.
+
+They are checked by cases, by random operations compared with a plain model, and by an exhaustive exploration
+of the protocol between clients, dispatcher, disk and workers.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,14 @@
 
 from eiderpin.durable.frames import FormatError, Record
 from eiderpin.jobs import records
-from eiderpin.jobs.ledger import Ledger, LedgerRuleError, MayNotRun, NameTaken, Step, asks_same
+from eiderpin.jobs.ledger import (
+    JobNameTakenError,
+    JobNotRunnableError,
+    Ledger,
+    LedgerRuleError,
+    RecoveryStep,
+    is_same_job,
+)
 from eiderpin.jobs.records import Accepted, AnyRecord, Ended, Leased, Opened, Released
 
 SINGLE = frozenset({"post"})
@@ -28,15 +39,17 @@
     return Leased(1.0, job, attempt, "h1", 1, "http", "127.0.0.1:9")
 
 
-def ledger_of(said: Iterable[AnyRecord], **limits: Any) -> Ledger:
+def ledger_of(job_records: Iterable[AnyRecord], **limits: Any) -> Ledger:
+    """A ledger that has applied these records, each packed and unpacked as on disk."""
     ledger = Ledger(SINGLE, **limits)
-    for record in said:
+    for record in job_records:
         ledger.apply(records.unpack(records.pack(record)))
     return ledger
 
 
 class Rules(unittest.TestCase):
-    def test_records_that_break_a_rule_change_nothing(self) -> None:
+    def test_a_record_that_breaks_a_rule_is_refused_and_changes_nothing(self) -> None:
+        """A ledger with contradictory records must not be recovered as if it were right."""
         ended, ran = Ended(3.0, 1, "succeeded", b"r", True), Released(2.0, 1, 0, True, "reset")
         cases: list[tuple[str, list[AnyRecord], AnyRecord]] = [
             ("taken on twice", [accepted(1)], accepted(1)),
@@ -51,59 +64,75 @@
             ("ends twice", [accepted(1), leased(1), ended], Ended(4.0, 1, "aborted")),
             ("term 1 after term 2", [Opened(0.0, 2, "a", ("post",))], Opened(0.0, 1, "b")),
         ]
-        for text, said, bad in cases:
+        for text, valid, bad in cases:
             with self.subTest(text=text, bad=bad):
-                ledger = ledger_of(said)
+                ledger = ledger_of(valid)
                 before = list(ledger.snapshot())
                 with self.assertRaisesRegex(LedgerRuleError, text):
                     ledger.apply(bad)
                 self.assertEqual(list(ledger.snapshot()), before)
 
-    def test_an_unrun_lease_may_be_followed_and_one_that_may_have_run_may_not(self) -> None:
-        for cls, ran, may in (("post", False, True), ("post", True, False), ("read", True, True)):
+    def test_a_job_is_leased_again_only_if_it_did_not_run_or_may_run_twice(self) -> None:
+        """A second lease of a job that may have run would run a single-run job twice."""
+        for cls, ran, is_allowed in (("post", False, True), ("post", True, False), ("read", True, True)):
             ledger = ledger_of([accepted(1, cls), leased(1), Released(2.0, 1, 0, ran, "x")])
-            if may:
+            if is_allowed:
                 ledger.apply(ledger.lease(1, 1, "h2", 3.0, "http", ""))
             else:
-                with self.assertRaises(MayNotRun):
+                with self.assertRaises(JobNotRunnableError):
                     ledger.lease(1, 1, "h2", 3.0, "http", "")
 
-    def test_what_is_kept_after_the_end(self) -> None:
+    def test_which_ended_jobs_are_kept(self) -> None:
+        """If a job were forgotten whose answer a client has received, its resubmission would run it again."""
         ran: list[AnyRecord] = [leased(1), Released(2.0, 1, 0, True, "reset")]
         cases = [
             ("post", [], "aborted", True), ("post", ran, "aborted", True), ("read", ran, "aborted", False),
             ("post", [], "declined", False), ("read", [leased(1)], "succeeded", True),
         ]  # fmt: skip
-        for cls, between, verdict, kept in cases:
+        for cls, between, verdict, is_kept in cases:
             ledger = ledger_of([accepted(1, cls, "a"), *between, Ended(3.0, 1, verdict)])
-            self.assertEqual(ledger.find(cls, "a") is not None, kept, (cls, verdict))
+            self.assertEqual(ledger.find(cls, "a") is not None, is_kept, (cls, verdict))
 
-    def test_kept_answers_go_by_age_count_and_size(self) -> None:
-        said: list[AnyRecord] = []
+    def test_stored_answers_expire_by_age_count_and_size(self) -> None:
+        """Answers that never expire would fill the memory, and their names could not be used again."""
+        job_records: list[AnyRecord] = []
         for job in range(1, 11):
             ended = Ended(float(job), job, "succeeded", b"r" * 1000)
-            said += [accepted(job, unique=f"n{job}"), leased(job), ended]
-        for limits, now, left in (
-            ({"keep": 5.0}, 10.0, 5), ({"most": 3}, 10.0, 3), ({"most_bytes": 5000}, 10.0, 3), ({}, 10.0, 10),
+            job_records += [accepted(job, unique=f"n{job}"), leased(job), ended]
+        for limits, now, remaining in (
+            ({"keep_ms": 5.0}, 10.0, 5), ({"max_answers": 3}, 10.0, 3),
+            ({"max_answer_bytes": 5000}, 10.0, 3), ({}, 10.0, 10),
         ):  # fmt: skip
-            ledger = ledger_of(said, **limits)
+            ledger = ledger_of(job_records, **limits)
             ledger.expire(now)
-            self.assertEqual(len(ledger.jobs), left, limits)
+            self.assertEqual(len(ledger.jobs), remaining, limits)
             self.assertEqual(ledger.find("post", "n10") is not None, True)
-            self.assertIsNone(ledger.find("post", "n1") if left < 10 else None)
-            ledger.apply(accepted(11, unique="n1" if left < 10 else "n11"))  # the name is free again
+            self.assertIsNone(ledger.find("post", "n1") if remaining < 10 else None)
+            ledger.apply(accepted(11, unique="n1" if remaining < 10 else "n11"))  # the name is free again
 
-    def test_recovery_tells_what_may_be_done(self) -> None:
+    def test_the_recovery_plan_has_the_right_step_for_each_open_job(self) -> None:
+        """A wrong step runs a job twice, or leaves one without an end."""
         ledger = ledger_of([
             accepted(1), accepted(2), leased(2), accepted(3, deadline=5.0),
             accepted(4), leased(4), Released(2.0, 4, 0, True, "reset"),
             accepted(5, "read"), leased(5), Released(2.0, 5, 0, True, "reset"),
             accepted(6), leased(6), Ended(3.0, 6, "succeeded"),
         ])  # fmt: skip
-        plan = {job.accepted.job: step for step, job in ledger.plan(10.0)}
-        self.assertEqual(plan, {1: Step.PLACE, 2: Step.WAIT, 3: Step.LATE, 4: Step.LATE, 5: Step.PLACE})
-
-    def test_a_snapshot_says_the_same_and_keeps_the_fingerprint(self) -> None:
+        plan = {job.accepted.job: step for step, job in ledger.plan_recovery(10.0)}
+        self.assertEqual(
+            plan,
+            {
+                1: RecoveryStep.PLACE,
+                2: RecoveryStep.WAIT,
+                3: RecoveryStep.LATE,
+                4: RecoveryStep.LATE,
+                5: RecoveryStep.PLACE,
+            },
+        )
+
+    def test_a_snapshot_restores_the_same_ledger_with_the_fingerprints(self) -> None:
+        """A checkpoint replaces the records before it, and it lacks the bodies of ended jobs: without the
+        fingerprint a resubmission could not be compared with the first submission."""
         ended = Ended(3.0, 1, "succeeded", b"r")
         ledger = ledger_of([accepted(1, unique="a"), leased(1), ended, accepted(2)])
         again = ledger_of(ledger_of(ledger.snapshot()).snapshot())
@@ -111,17 +140,18 @@
         job = again.find("post", "a")
         assert job is not None
         self.assertEqual(job.accepted.body, b"")
-        self.assertTrue(asks_same(job.accepted, b"/post", b"body"))
-        self.assertFalse(asks_same(job.accepted, b"/post", b"other"))
+        self.assertTrue(is_same_job(job.accepted, b"/post", b"body"))
+        self.assertFalse(is_same_job(job.accepted, b"/post", b"other"))
 
-    def test_records_of_a_newer_program_and_nonsense_are_refused(self) -> None:
+    def test_records_of_a_newer_program_and_malformed_records_are_refused(self) -> None:
+        """A record that is not understood must stop the reading, or the rest would be misread."""
         for bad in (Record(9, 1, b""), Record(2, 2, b""), Record(2, 1, b"\xc1"), Record(2, 1, b"\x91\xa1x")):
             with self.assertRaises(FormatError):
                 records.unpack(bad)
 
 
 class AgainstAModel(RuleBasedStateMachine):
-    """Random lives of jobs: the ledger, a ledger that has read the same records, and plain dictionaries."""
+    """Random operations on a ledger, on one that reads the same records, and on plain dictionaries."""
 
     jobs = Bundle("jobs")
 
@@ -145,7 +175,7 @@
         job = self.ledger.next_job()
         try:
             self.say(self.ledger.accept(accepted(job, cls, unique, self.now)))
-        except NameTaken:
+        except JobNameTakenError:
             holder = self.ledger.find(cls, unique)
             assert holder is not None and holder.accepted.job not in self.over
             return holder.accepted.job
@@ -157,7 +187,7 @@
         may = job not in self.over and not (self.cls[job] == "post" and self.may_have_run[job])
         try:
             record = self.ledger.lease(job, self.attempts[job], "h1", self.now, "http", "")
-        except MayNotRun:
+        except JobNotRunnableError:
             assert not may
             return
         assert may
@@ -168,9 +198,9 @@
     @rule(job=jobs, ran=st.booleans())
     def release(self, job: int, ran: bool) -> None:
         known = self.ledger.jobs.get(job)
-        if known is None or not known.out:
+        if known is None or not known.active_leases:
             return
-        self.say(Released(self.now, job, known.out[0].leased.attempt, ran, "x"))
+        self.say(Released(self.now, job, known.active_leases[0].leased.attempt, ran, "x"))
         self.may_have_run[job] -= not ran
 
     @rule(job=jobs, verdict=st.sampled_from(["succeeded", "aborted", "declined"]), told=st.booleans())
@@ -196,85 +226,92 @@
 
 
 def protocol(lease_first: bool, crashes: int = 3) -> Protocol:
-    """One single-shot job and two attempts, through crashes at every place. The rules are the real ledger's.
+    """One single-run job with up to two attempts and a crash at every place. The rules are the real ledger's.
 
-    `disk`, `tail`: records that are on disk, and written since. `sent`: what this process leased and sent.
-    `wire`: attempts on their way to a worker. `reports`: attempts whose result a worker still tells.
-    `told`: what clients that asked have been answered.
+    `lease_first`: an attempt is sent only once its lease is on disk. The fields of a state are:
+    `up`: the dispatcher runs. `crashes`: how many may still happen. `disk`, `tail`: records on disk, and
+    records written since. `sent`: what this process has leased ("mine") and sent ("gone"). `wire`: attempts
+    on their way to a worker. `ran`: how often the job has run. `reports`: attempts whose result a worker
+    still reports. `asking`: a client waits. `told`: the answers that clients have received.
     """
 
-    def view(d: dict[str, Any]) -> Ledger:
-        return ledger_of([*d["disk"], *d["tail"]])
+    def current_ledger(state: dict[str, Any]) -> Ledger:
+        return ledger_of([*state["disk"], *state["tail"]])
 
-    def transitions(state: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        d = dict(zip(FIELDS, state, strict=True))
+    def transitions(values: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+        state = dict(zip(FIELDS, values, strict=True))
         steps: list[tuple[str, tuple[Any, ...]]] = []
 
-        def to(label: str, **changes: Any) -> None:
-            steps.append((label, tuple({**d, **changes}[f] for f in FIELDS)))
+        def add_step(label: str, **changes: Any) -> None:
+            steps.append((label, tuple({**state, **changes}[name] for name in FIELDS)))
 
-        for attempt in sorted(d["wire"]):
-            left = d["wire"] - {attempt}
-            reports = d["reports"] | {attempt}
-            to(f"worker runs attempt {attempt}", wire=left, ran=d["ran"] + 1, reports=reports)
-            to(f"attempt {attempt} is lost on its way, and nobody knows", wire=left)
-        if not d["up"]:
-            to("recover", up=True, sent=frozenset())
+        for attempt in sorted(state["wire"]):
+            others = state["wire"] - {attempt}
+            reports = state["reports"] | {attempt}
+            add_step(f"worker runs attempt {attempt}", wire=others, ran=state["ran"] + 1, reports=reports)
+            add_step(f"attempt {attempt} is lost on its way, and nobody knows", wire=others)
+        if not state["up"]:
+            add_step("recover", up=True, sent=frozenset())
             return steps
-        if d["crashes"]:
-            for kept in range(len(d["tail"]) + 1):
-                to(f"crash; of the tail {kept} records stay", up=False, crashes=d["crashes"] - 1,
-                   asking=False, disk=d["disk"] + d["tail"][:kept], tail=(), sent=frozenset())  # fmt: skip
-        if d["tail"]:
-            to("sync", disk=d["disk"] + d["tail"], tail=())
-        ledger = view(d)
+        if state["crashes"]:
+            for kept in range(len(state["tail"]) + 1):
+                add_step(f"crash; of the tail {kept} records stay", up=False, crashes=state["crashes"] - 1,
+                         asking=False, disk=state["disk"] + state["tail"][:kept], tail=(),
+                         sent=frozenset())  # fmt: skip
+        if state["tail"]:
+            add_step("sync", disk=state["disk"] + state["tail"], tail=())
+        ledger = current_ledger(state)
         job = ledger.jobs.get(1)
         known = ledger.find("post", "a")
 
-        def say(*said: AnyRecord) -> tuple[AnyRecord, ...]:
-            return (*d["tail"], *said)
+        def tail_with(*added: AnyRecord) -> tuple[AnyRecord, ...]:
+            return (*state["tail"], *added)
 
-        if not d["asking"] and len(d["told"]) < 2:
-            to("client asks" if known is not None else "client asks; accept", asking=True,
-               tail=d["tail"] if known is not None else say(accepted(1, unique="a")))  # fmt: skip
-        safe = ledger_of(d["disk"] if lease_first else [*d["disk"], *d["tail"]])
+        if not state["asking"] and len(state["told"]) < 2:
+            add_step("client asks" if known is not None else "client asks; accept", asking=True,
+                     tail=state["tail"] if known is not None
+                     else tail_with(accepted(1, unique="a")))  # fmt: skip
+        sendable = ledger_of(state["disk"] if lease_first else [*state["disk"], *state["tail"]])
         if job is not None and job.ended is None:
-            if not job.out:
+            if not job.active_leases:
                 try:
                     attempt = len(job.leases)
                     if attempt < 2:
                         lease = ledger.lease(1, attempt, "h1", 1.0, "http", "")
-                        to(f"lease attempt {attempt}", tail=say(lease), sent=d["sent"] | {("mine", attempt)})
-                except MayNotRun:
+                        add_step(f"lease attempt {attempt}", tail=tail_with(lease),
+                                 sent=state["sent"] | {("mine", attempt)})  # fmt: skip
+                except JobNotRunnableError:
                     pass
-            for out in job.out:
-                attempt = out.leased.attempt
-                mine, gone = ("mine", attempt) in d["sent"], ("gone", attempt) in d["sent"]
-                there = safe.jobs.get(1)
-                on_disk = there is not None and any(x.leased.attempt == attempt for x in there.leases)
-                if mine and not gone and on_disk:
-                    sent = d["sent"] | {("gone", attempt)}
-                    to(f"send attempt {attempt}", wire=d["wire"] | {attempt}, sent=sent)
-                if mine and not gone:
-                    to(f"attempt {attempt} is refused before its first byte",
-                       tail=say(Released(2.0, 1, attempt, False, "refused")))  # fmt: skip
-                if not mine or gone:
+            for active in job.active_leases:
+                attempt = active.leased.attempt
+                is_mine, is_sent = ("mine", attempt) in state["sent"], ("gone", attempt) in state["sent"]
+                stored = sendable.jobs.get(1)
+                is_stored = stored is not None and any(one.leased.attempt == attempt for one in stored.leases)
+                if is_mine and not is_sent and is_stored:
+                    sent = state["sent"] | {("gone", attempt)}
+                    add_step(f"send attempt {attempt}", wire=state["wire"] | {attempt}, sent=sent)
+                if is_mine and not is_sent:
+                    add_step(f"attempt {attempt} is refused before its first byte",
+                             tail=tail_with(Released(2.0, 1, attempt, False, "refused")))  # fmt: skip
+                if not is_mine or is_sent:
                     released = Released(2.0, 1, attempt, True, "silence")
-                    ended = Ended(3.0, 1, "aborted", b"", d["asking"])
-                    to(f"lease {attempt} expires", tail=say(released, ended))
-                if attempt in d["reports"]:
-                    to(f"report of attempt {attempt}", reports=d["reports"] - {attempt},
-                       tail=say(Ended(3.0, 1, "succeeded", b"r", d["asking"])))  # fmt: skip
-        untold = job is not None and job.ended is not None and not job.ended.told
-        if untold and d["reports"] and job is not None and job.state() != "succeeded":
-            to("late report", reports=frozenset(), tail=say(Ended(4.0, 1, "succeeded", b"r", False)))
-        there = ledger_of(d["disk"]).jobs.get(1)
-        if d["asking"] and job is not None and job.ended is not None and not job.ended.told:
-            to("note that it is told", tail=say(Ended(5.0, 1, job.ended.verdict, job.ended.result, True)))
-        told = there is not None and there.ended is not None and there.ended.told
-        if d["asking"] and told and not d["tail"]:
-            assert there is not None and there.ended is not None
-            to("answer", asking=False, told=(*d["told"], there.ended.verdict))
+                    ended = Ended(3.0, 1, "aborted", b"", state["asking"])
+                    add_step(f"lease {attempt} expires", tail=tail_with(released, ended))
+                if attempt in state["reports"]:
+                    add_step(f"report of attempt {attempt}", reports=state["reports"] - {attempt},
+                             tail=tail_with(Ended(3.0, 1, "succeeded", b"r", state["asking"])))  # fmt: skip
+        is_unanswered = job is not None and job.ended is not None and not job.ended.told
+        if is_unanswered and state["reports"] and job is not None and job.state() != "succeeded":
+            add_step("late report", reports=frozenset(),
+                     tail=tail_with(Ended(4.0, 1, "succeeded", b"r", False)))  # fmt: skip
+        stored = ledger_of(state["disk"]).jobs.get(1)
+        if state["asking"] and job is not None and job.ended is not None and not job.ended.told:
+            add_step("note that it is told",
+                     tail=tail_with(Ended(5.0, 1, job.ended.verdict, job.ended.result, True)))  # fmt: skip
+        is_told_on_disk = stored is not None and stored.ended is not None and stored.ended.told
+        if state["asking"] and is_told_on_disk and not state["tail"]:
+            assert stored is not None and stored.ended is not None
+            add_step("answer", asking=False, told=(*state["told"], stored.ended.verdict))
         return steps
 
     return Protocol(
@@ -282,19 +319,22 @@
         initial=(True, crashes, (), (), frozenset(), frozenset(), 0, frozenset(), False, ()),
         transitions=transitions,
         invariants={
-            "runs at most once": lambda d: d["ran"] <= 1,
-            "one answer": lambda d: len(set(d["told"])) <= 1,
+            "runs at most once": lambda state: state["ran"] <= 1,
+            "one answer": lambda state: len(set(state["told"])) <= 1,
         },
     )  # fmt: skip
 
 
 class ProtocolExplored(unittest.TestCase):
-    def test_at_most_one_run_and_one_answer_whatever_crashes(self) -> None:
+    def test_a_job_runs_at_most_once_and_has_one_answer_through_any_crash(self) -> None:
+        """A crash between a record and its effect could run the job twice, or give its clients different
+        answers."""
         found = check_safety(protocol(lease_first=True))
         for name, result in found["properties"].items():
             self.assertTrue(result["holds"], (name, result.get("counterexample")))
 
-    def test_without_lease_before_send_the_check_fails_with_a_short_trace(self) -> None:
+    def test_sending_before_the_lease_is_on_disk_breaks_the_protocol(self) -> None:
+        """The exploration has to find the fault that the lease prevents, and by a short trace."""
         found = check_safety(protocol(lease_first=False))
         result = found["properties"]["runs at most once"]
         self.assertFalse(result["holds"])
