--- a/eiderpin/durable/__init__.py
+++ b/eiderpin/durable/__init__.py
@@ -1,6 +1,6 @@
-"""One append-only log of records on disk, for all state that has to outlive the process.
+"""An append-only log of records on disk, for all state that must survive the process.
 
-`frames` is the format (pure), `files` the seam that all file calls go through, `reading` reads a directory of
-segments and checkpoints, `flusher` is the thread that commits in groups, `log` what an owner uses. The format
-is described in `docs/formats/log.md`.
+`frames` is the file format (pure), `files` makes all file calls, `reading` reads a directory of segments and
+checkpoints, `flusher` is the thread that commits records in groups, and `log` is the interface for the owner
+of a log. The format is described in `docs/formats/log.md`.
 """
