--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""An Idempotency-Key reaches workers as its client spelt it, whatever becomes of the job on its way."""
+"""Tests that an Idempotency-Key reaches the workers exactly as its client spelt it."""
 
 from __future__ import annotations
 
@@ -15,92 +15,109 @@
 from tests.test_operators import answer, caller
 from tests.test_upgrade import TOOK, said, side
 
-SPELT = [
+KEY_SPELLINGS = [
     '"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"', "bare", '"', 'a "b" c', "tab\there", "caf\xe9\xa0",
     "'\\;,=%0d%0a", "k" * 30_000,
 ]  # fmt: skip
 
 
-def keys(worker: HttpWorker) -> list[str | None]:
+def received_keys(worker: HttpWorker) -> list[str | None]:
+    """The Idempotency-Key of each job that the worker has received."""
     return [headers.get("idempotency-key") for method, _, headers, _ in worker.seen if method == "POST"]
 
 
-KEYED = b'POST /result-post HTTP/1.1\r\nIdempotency-Key: "k 1"\r\nReq-Id: %b\r\nContent-Length: 0\r\n\r\n'
+KEYED_POST = (
+    b'POST /result-post HTTP/1.1\r\nIdempotency-Key: "k 1"\r\nReq-Id: %b\r\nContent-Length: 0\r\n\r\n'
+)
 
 
-def takes_and_is_silent(worker: HttpWorker, rid: str, handler: Any) -> None:
-    worker.ran[rid] += 1
+def accept_silently(worker: HttpWorker, request_id: str, handler: Any) -> None:
+    worker.ran[request_id] += 1
     handler.say(202)
 
 
-def turns_away_first(worker: HttpWorker, rid: str, handler: Any) -> None:
+def reject_job(worker: HttpWorker, request_id: str, handler: Any) -> None:
     handler.say(503, Srv_Declined="1")
 
 
 class Keys(unittest.TestCase):
-    def test_every_spelling_and_none_pass_on_unchanged(self) -> None:
+    def test_every_spelling_of_a_key_and_its_absence_pass_unchanged(self) -> None:
+        """A key that the dispatcher normalises, cuts or adds is another key to the worker. Two keys in one
+        request are an invalid request."""
         worker = HttpWorker("h1")
         with running([worker]) as (program, _):
-            for i, key in enumerate([*SPELT, None]):
-                given = {} if key is None else {"Idempotency_Key": key}
-                got = http_call(program.edge, "POST", "/result-post", b"x", Req_Id=f"a{i}", **given)
-                self.assertEqual(got[0], 200, key)
-            self.assertEqual(keys(worker), [*SPELT, None])
-            twice = KEYED.replace(b"Req-Id", b"Idempotency-Key: 2\r\nReq-Id") % b"b"
-            self.assertIn(b" 400 ", raw(program.edge, twice))
-
-    def test_the_same_key_at_two_dispatchers_and_with_another_body_is_the_workers_to_judge(self) -> None:
+            for number, key in enumerate([*KEY_SPELLINGS, None]):
+                headers = {} if key is None else {"Idempotency_Key": key}
+                response = http_call(
+                    program.edge, "POST", "/result-post", b"x", Req_Id=f"a{number}", **headers
+                )
+                self.assertEqual(response[0], 200, key)
+            self.assertEqual(received_keys(worker), [*KEY_SPELLINGS, None])
+            two_keys = KEYED_POST.replace(b"Req-Id", b"Idempotency-Key: 2\r\nReq-Id") % b"b"
+            self.assertIn(b" 400 ", raw(program.edge, two_keys))
+
+    def test_the_dispatcher_does_not_judge_a_repeated_key_of_a_non_durable_job(self) -> None:
+        """Only the worker sees a key that comes through two dispatchers, or with another body, so only it can
+        tell a repetition."""
         worker = HttpWorker("h1")
-        with running([worker]) as (one, _), running([worker]) as (two, _):
-            for at, rid, body in ((one, "a1", b"x"), (two, "a2", b"x"), (one, "a3", b"y")):
-                worker.back = at.edge
-                got = http_call(at.edge, "POST", "/result-post", body, Req_Id=rid, Idempotency_Key='"k"')
-                self.assertEqual(got[:2], (200, b"h1 ran " + rid.encode()))
-            self.assertEqual(keys(worker), ['"k"'] * 3)
-
-    def test_a_retry_bears_it_too(self) -> None:
-        workers = [HttpWorker("h1", turns_away_first), HttpWorker("h2")]
+        with running([worker]) as (first, _), running([worker]) as (second, _):
+            for program, request_id, body in (
+                (first, "a1", b"x"), (second, "a2", b"x"), (first, "a3", b"y"),
+            ):  # fmt: skip
+                worker.back = program.edge
+                response = http_call(
+                    program.edge, "POST", "/result-post", body, Req_Id=request_id, Idempotency_Key='"k"'
+                )
+                self.assertEqual(response[:2], (200, b"h1 ran " + request_id.encode()))
+            self.assertEqual(received_keys(worker), ['"k"'] * 3)
+
+    def test_a_retry_has_the_key(self) -> None:
+        """A retry goes to another worker, which must get the same key."""
+        workers = [HttpWorker("h1", reject_job), HttpWorker("h2")]
         with running(workers) as (program, _):
             for i in range(20):
                 key = f'"{i}"'
                 http_call(program.edge, "POST", "/result-post", b"x", Req_Id=f"a{i}", Idempotency_Key=key)
-            self.assertTrue(keys(workers[0]))
-            self.assertEqual(keys(workers[1]), [f'"{i}"' for i in range(20)])
+            self.assertTrue(received_keys(workers[0]))
+            self.assertEqual(received_keys(workers[1]), [f'"{i}"' for i in range(20)])
 
-    def test_a_job_that_goes_over_to_a_new_process_bears_it_there(self) -> None:
+    def test_a_job_transferred_to_a_new_process_keeps_its_key(self) -> None:
+        """After an upgrade, the new process retries a job that the old one had accepted, with its key."""
         other = HttpWorker("h2")
-        with side() as it:
-            it.held.worker.act = takes_and_is_silent
-            old = it.serving()
+        with side() as site:
+            site.held.worker.act = accept_silently
+            old = site.serving()
             sock = caller(old.edge)
-            sock.sendall(KEYED % b"s1")
-            wait_for(lambda: it.held.worker.ran["s1"], "the job to be out")
-            new = it.serving()
+            sock.sendall(KEYED_POST % b"s1")
+            wait_for(lambda: site.held.worker.ran["s1"], "the job to run")
+            new = site.serving()
             said(old, TOOK)
             old.process.send_signal(signal.SIGTERM)
             self.assertEqual(old.process.wait(20), 0)
-            other.back = it.held.worker.back = new.edge
-            it.discovery.list("h2", other.port)
-            self.assertEqual(it.held.worker.tell("s1", "returned"), 204)
+            other.back = site.held.worker.back = new.edge
+            site.discovery.list("h2", other.port)
+            self.assertEqual(site.held.worker.tell("s1", "returned"), 204)
             self.assertIn(b"h2 ran s1", answer(sock))
-            self.assertEqual(keys(other), ['"k 1"'])
+            self.assertEqual(received_keys(other), ['"k 1"'])
             sock.close()
         other.stop()
 
-    def test_a_durable_job_bears_it_after_a_crash(self) -> None:
-        with run_installation() as it:
-            first = it.start()
-            it.discovery.list("h1", it.held_worker.worker.port, lifecycle="Terminating")
+    def test_a_durable_job_recovered_after_a_crash_keeps_its_key(self) -> None:
+        """The ledger has to store the key, or the recovered job would be sent without it."""
+        with run_installation() as installation:
+            first = installation.start()
+            installation.discovery.list("h1", installation.held_worker.worker.port, lifecycle="Terminating")
             wait_for(lambda: http_call(first.edge, "GET", "/_health")[0] == 503, "the worker's drain")
             post_in_background(first, "d1")
-            wait_for(lambda: first.counters().get("in.requests"), "the job to be taken")
-            it.kill()
-            it.discovery.list("h1", it.held_worker.worker.port)
-            it.start()
-            wait_for(lambda: it.ran["d1"], "the job to be out")
-            self.assertEqual(keys(it.held_worker.worker), ['"d1"'])
-
-    def test_a_ledger_of_before_is_read(self) -> None:
+            wait_for(lambda: first.counters().get("in.requests"), "the job to be accepted")
+            installation.kill()
+            installation.discovery.list("h1", installation.held_worker.worker.port)
+            installation.start()
+            wait_for(lambda: installation.ran["d1"], "the job to run")
+            self.assertEqual(received_keys(installation.held_worker.worker), ['"d1"'])
+
+    def test_a_record_without_the_key_field_is_read(self) -> None:
+        """A ledger written before the field existed must stay readable."""
         new = records.Accepted(1.0, 1, "c", "n", "w", b"/c", b"", 9.0, idempotency_key='"n"')
         packed = records.pack(new)
         self.assertEqual(records.unpack(packed), new)
