--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -307,7 +307,10 @@
         self._lease_timers[attempt] = deadlines.set(at, lambda: self.expire_lease(attempt))
 
     def expire_lease(self, attempt: Attempt) -> None:
-        """End an attempt whose worker has been silent as a reset; its class decides on a retry."""
+        """End an attempt with the outcome RESET, because its worker has been silent for `silence_ms`.
+
+        Whether the job is retried depends on its class.
+        """
         self._lease_timers.pop(attempt, None)
         if not attempt.ended:
             self.core.counters.add("ledger.leases_expired")
