--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -289,7 +289,7 @@
         try:
             record = self.ledger.lease(request.job, attempt.number, endpoint.name, self.now(), link, address)
         except JobNotRunnableError as error:
-            must(False, f"the ledger allows each attempt that the decisions make: {error}")
+            must(False, f"the ledger allows what the decisions send: {error}")
             self.core.ended(attempt, api.Outcome.NOT_SENT)
             return
         if self.failed:
