--- a/eiderpin/store/client.py
+++ b/eiderpin/store/client.py
@@ -1,4 +1,4 @@
-"""A client of the store, through the operators' doors of its members: for commands and scripts. It blocks."""
+"""A blocking client of the store for commands and scripts. It connects to the members' management API."""
 
 from __future__ import annotations
 
@@ -11,140 +11,191 @@
 
 import orjson
 
-AGAIN = 0.1  # s between tries ...
-ATTEMPT = 3.0  # ... of which one takes so long at most
+RETRY_INTERVAL_SECONDS = 0.1
+ATTEMPT_TIMEOUT_SECONDS = 3.0  # for one attempt at one member
 
 
 class StoreRequestError(Exception):
-    """The store says no; `kind` is one of `door.KINDS`, or `unreachable`."""
+    """A request failed. `kind` is one of `door.ERROR_KINDS`, or `unreachable`."""
 
     def __init__(self, kind: str, error: str) -> None:
-        """`kind` for programs, `error` for people."""
+        """`kind` is for programs, `error` for people."""
         super().__init__(error)
         self.kind = kind
 
 
 class StoreClient:
-    """`doors`: HOST:PORT of any members; the next one is asked where one does not answer. `within`: s that
-    one question may take in all."""
+    """A client that tries the next member if one does not answer.
 
-    def __init__(self, doors: list[str], within: float = 10.0) -> None:
-        """Nothing is sent yet."""
-        self.addresses, self.within = list(doors), within
+    Args:
+        addresses: HOST:PORT of the management API of any members.
+        timeout: How many seconds one request may take, retries included.
+    """
+
+    def __init__(self, addresses: list[str], timeout: float = 10.0) -> None:
+        """Start without a session; nothing is sent yet."""
+        self.addresses, self.timeout = list(addresses), timeout
         self.client, self.number = "", 0
-        self.generation = 0  # of the store that the last watch or snapshot was of; 0: none yet
+        self.generation = 0  # of the store at the last watch or snapshot; 0: none yet
+
+    def ask(self, op: str, attempt_timeout: float = ATTEMPT_TIMEOUT_SECONDS, **fields: Any) -> dict[str, Any]:
+        """Send a request that is safe to repeat, and return the reply.
+
+        It is retried at the next member while there is no leader, no result or no connection.
 
-    def ask(self, op: str, attempt: float = ATTEMPT, **said: Any) -> dict[str, Any]:
-        """One question that may be asked twice without harm. Raises `StoreRequestError`."""
-        end = time.monotonic() + self.within
+        Args:
+            op: The call, one of `door.StoreApi.handlers`.
+            attempt_timeout: How many seconds one attempt may take.
+            fields: The other fields of the request.
+
+        Raises:
+            StoreRequestError: The store rejected the request, or there was no result in time.
+        """
+        deadline = time.monotonic() + self.timeout
         while True:
-            left = end - time.monotonic()
+            left = deadline - time.monotonic()
             try:
-                return self._call_once(self.addresses[0], {"op": op, **said}, max(0.2, min(left, attempt)))
+                return self._call_once(
+                    self.addresses[0], {"op": op, **fields}, max(0.2, min(left, attempt_timeout))
+                )
             except StoreRequestError as error:
-                if error.kind not in ("no-leader", "unknown", "unreachable") or time.monotonic() > end:
+                if error.kind not in ("no-leader", "unknown", "unreachable") or time.monotonic() > deadline:
                     raise
                 self.addresses.append(self.addresses.pop(0))
-                time.sleep(AGAIN)
+                time.sleep(RETRY_INTERVAL_SECONDS)
+
+    def change(self, op: str, **fields: Any) -> dict[str, Any]:
+        """Send a change that is applied once, however often it is retried, and return the reply.
 
-    def change(self, op: str, **said: Any) -> dict[str, Any]:
-        """One change, carried out once however often it had to be asked for. Raises `StoreRequestError`;
-        `unknown`: nobody has said whether it was carried out."""
+        Raises:
+            StoreRequestError: It failed; with `unknown`, it may or may not have been applied.
+        """
         if not self.client:
             self.client = secrets.token_hex(12)
             self.ask("open", client=self.client)
         self.number += 1
-        return self.ask(op, client=self.client, number=self.number, **said)
+        return self.ask(op, client=self.client, number=self.number, **fields)
 
     def put(self, name: str, value: bytes, revision: int | None = None, lease: int = 0) -> dict[str, Any]:
-        """`revision`: only if the document is at this one; 0: only if there is none."""
+        """Set a document and return the reply.
+
+        Args:
+            name: Name of the document.
+            value: Its new value.
+            revision: Only change it if it is at this revision; 0: only if it does not exist.
+            lease: The lease with which it is deleted; 0: none.
+
+        Raises:
+            StoreRequestError: As in `change`.
+        """
         compares = [] if revision is None else [{"name": name, "revision": revision}]
         row = {"name": name, "value": base64.b64encode(value).decode(), "lease": lease}
         return self.change("txn", puts=[row], compares=compares)
 
     def get(self, name: str, stale: bool = False) -> tuple[bytes, dict[str, Any]]:
-        """A document's value, and its other fields. Raises `StoreRequestError` (`absent`)."""
-        said = self.ask("get", name=name, stale=stale)["document"]
-        return base64.b64decode(said["value"]), said
+        """Return a document's value and the document as JSON.
+
+        Args:
+            name: Name of the document.
+            stale: Accept the state of the member that answers, which may be out of date.
+
+        Raises:
+            StoreRequestError: As in `ask`; `absent`: there is no such document.
+        """
+        document = self.ask("get", name=name, stale=stale)["document"]
+        return base64.b64decode(document["value"]), document
 
     def watch(self, prefix: str, after: int | None = None) -> Iterator[dict[str, Any]]:
-        """Events from after revision `after` on (None: from now on), each once, at whichever member answers.
-        Raises `StoreRequestError` (`compacted`: begin anew; also where the store was restored and its
-        revisions went back)."""
+        """Yield each event after revision `after` once, from whichever member answers. It does not end.
+
+        Args:
+            prefix: Prefix of the names of the documents.
+            after: The last revision that is known; None: events from now on.
+
+        Raises:
+            StoreRequestError: `compacted`: the events are no longer kept, or the store was restored and its
+                revisions went back. Read the documents again.
+        """
         last = after
         while True:
-            asked: dict[str, Any] = {"op": "watch", "prefix": prefix}
+            request: dict[str, Any] = {"op": "watch", "prefix": prefix}
             if last is not None:
-                asked["after"] = last
+                request["after"] = last
             if self.generation:
-                asked["generation"] = self.generation
+                request["generation"] = self.generation
             try:
-                for said in self._lines(self.addresses[0], asked):
-                    if not said["ok"]:
-                        raise StoreRequestError(said["kind"], said["error"])
-                    self.generation = said.get("generation", self.generation)
-                    # A revision's events come in one line, so none of them can be cut off from the others.
-                    yield from said.get("events", ())
-                    last = said["revision"]
+                for reply in self._stream_replies(self.addresses[0], request):
+                    if not reply["ok"]:
+                        raise StoreRequestError(reply["kind"], reply["error"])
+                    self.generation = reply.get("generation", self.generation)
+                    # All events of a revision are in one line, so a lost connection cannot separate them.
+                    yield from reply.get("events", ())
+                    last = reply["revision"]
             except StoreRequestError as error:
                 if error.kind == "compacted":
                     raise
             except OSError:
                 pass
             self.addresses.append(self.addresses.pop(0))
-            time.sleep(AGAIN)
+            time.sleep(RETRY_INTERVAL_SECONDS)
 
     def close(self) -> None:
-        """Let the store forget this client."""
+        """Close the session of this client, if it has one. Raises `StoreRequestError`."""
         if self.client:
             self.ask("close", client=self.client)
             self.client = ""
 
     def snapshot(self) -> bytes:
-        """The whole image. Raises `StoreRequestError`."""
+        """Return the serialized state of the store (`state.Store.image`). Raises `StoreRequestError`."""
         for _ in range(2 * len(self.addresses)):
             try:
-                sock = self._send(self.addresses[0], {"op": "snapshot"}, self.within)
-                with sock, sock.makefile("rb") as file:
-                    head = orjson.loads(file.readline() or b"{}")
-                    if not head.get("ok"):
+                connection = self._open_request(self.addresses[0], {"op": "snapshot"}, self.timeout)
+                with connection, connection.makefile("rb") as file:
+                    header = orjson.loads(file.readline() or b"{}")
+                    if not header.get("ok"):
                         raise StoreRequestError(
-                            head.get("kind", "unreachable"), head.get("error", "it closed")
+                            header.get("kind", "unreachable"),
+                            header.get("error", "the connection was closed"),
                         )
                     image = b"".join(base64.b64decode(line) for line in file)
-                if len(image) == head["bytes"]:
-                    self.generation = head.get("generation", 1)
+                if len(image) == header["bytes"]:
+                    self.generation = header.get("generation", 1)
                     return image
             except OSError:
                 pass
             self.addresses.append(self.addresses.pop(0))
-        raise StoreRequestError("unreachable", f"no whole snapshot from {', '.join(self.addresses)}")
+        raise StoreRequestError("unreachable", f"no complete snapshot from {', '.join(self.addresses)}")
 
-    def _send(self, door: str, said: dict[str, Any], timeout: float | None) -> socket.socket:
-        host, _, port = door.rpartition(":")
-        sock = socket.create_connection((host, int(port)), 2.0)
-        sock.settimeout(timeout)
-        sock.sendall(b"store " + orjson.dumps(said) + b"\n")
-        return sock
+    def _open_request(self, address: str, fields: dict[str, Any], timeout: float | None) -> socket.socket:
+        host, _, port = address.rpartition(":")
+        connection = socket.create_connection((host, int(port)), 2.0)
+        connection.settimeout(timeout)
+        connection.sendall(b"store " + orjson.dumps(fields) + b"\n")
+        return connection
 
-    def _call_once(self, door: str, said: dict[str, Any], timeout: float) -> dict[str, Any]:
-        said = {**said, "within_ms": min(60_000.0, timeout * 1000)}
+    def _call_once(self, address: str, fields: dict[str, Any], timeout: float) -> dict[str, Any]:
+        fields = {**fields, "within_ms": min(60_000.0, timeout * 1000)}
         try:
-            with self._send(door, said, timeout + 1.0) as sock, sock.makefile("rb") as file:
+            with (
+                self._open_request(address, fields, timeout + 1.0) as connection,
+                connection.makefile("rb") as file,
+            ):
                 line = file.readline()
         except OSError as error:
-            raise StoreRequestError("unreachable", f"{door}: {error}") from None
+            raise StoreRequestError("unreachable", f"{address}: {error}") from None
         if line.startswith(b"fail"):
-            raise StoreRequestError("bad", f"{door}: {line.decode().strip()} (is the store on there?)")
+            raise StoreRequestError(
+                "bad", f"{address}: {line.decode().strip()} (is the store enabled there?)"
+            )
         if not line.endswith(b"\n"):
-            raise StoreRequestError("unreachable", f"{door}: it closed without an answer")
-        got: dict[str, Any] = orjson.loads(line)
-        if not got["ok"]:
-            raise StoreRequestError(got["kind"], got["error"])
-        return got
-
-    def _lines(self, door: str, said: dict[str, Any]) -> Iterator[dict[str, Any]]:
-        with self._send(door, said, None) as sock, sock.makefile("rb") as file:
+            raise StoreRequestError("unreachable", f"{address}: the connection was closed without an answer")
+        reply: dict[str, Any] = orjson.loads(line)
+        if not reply["ok"]:
+            raise StoreRequestError(reply["kind"], reply["error"])
+        return reply
+
+    def _stream_replies(self, address: str, fields: dict[str, Any]) -> Iterator[dict[str, Any]]:
+        with self._open_request(address, fields, None) as connection, connection.makefile("rb") as file:
             for line in file:
                 if not line.endswith(b"\n"):
                     return
--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -1,6 +1,9 @@
-"""The store's calls at the operators' door: `store {"op": ...}`, a line of JSON each way. Values are base64.
+"""The store's client API, an extension of the management API.
 
-A reply has `ok`; where that is false, `kind` says what went wrong for scripts (`KINDS`), `error` for people.
+A call is the line `store {"op": ...}`, and its reply is a line of JSON. Values of documents are base64.
+
+A reply has `ok`. If that is false, `kind` (one of `ERROR_KINDS`) says what went wrong for scripts, and
+`error` for people.
 """
 
 from __future__ import annotations
@@ -35,317 +38,332 @@
     Transaction,
 )
 
-WITHIN = 5000.0  # ms that an answer may take, where the caller names no other
-MOST_WITHIN = 60_000.0
-KINDS = ("bad", "no-leader", "refused", "unknown", "differs", "compacted", "absent")
-PART = 256 << 10  # bytes of a snapshot in one line
+DEFAULT_TIMEOUT_MS = 5000.0  # for a call without `within_ms`
+MAX_TIMEOUT_MS = 60_000.0
+ERROR_KINDS = ("bad", "no-leader", "refused", "unknown", "differs", "compacted", "absent")
+MAX_LINE_PAYLOAD_BYTES = 256 << 10  # of values in one line of a reply, before base64
 
 
-class BadCall(ValueError):
-    """The call makes no sense; the message names the field."""
+class InvalidCallError(ValueError):
+    """The call is not valid; the message names the field."""
 
 
 class PeerStoreApi:
-    """While the process before us is still our member."""
+    """The client API of a new process during an upgrade, while its peer process is still the member."""
 
     max_line_bytes = 1 << 20
 
-    def call(self, caller: ManagementConnection, said: bytes) -> None:
-        """Say where to ask."""
-        fail(caller, "no-leader", "the process beside this one is the member still: ask at its door")
+    def call(self, caller: ManagementConnection, arguments: bytes) -> None:
+        """Reject the call and refer the caller to the peer process."""
+        reply_error(caller, "no-leader", "the peer process is still the member: ask at its door")
 
 
 class StoreApi:
-    """The store's calls at a member's management address."""
+    """The client API at a member of the store."""
 
     max_line_bytes = 1 << 20
 
     def __init__(self, host: StoreHost) -> None:
-        """Answer for this member."""
+        """Serve the calls of clients at the member `host`."""
         self.host, self.loop = host, host.loop
-        self.calls: dict[str, Callable[[ManagementConnection, dict[str, Any]], None]] = {
+        self.handlers: dict[str, Callable[[ManagementConnection, dict[str, Any]], None]] = {
             "status": self.status, "get": self.get, "range": self.range, "txn": self.transact,
             "watch": self.watch, "history": self.history, "grant": self.grant, "keep": self.keep,
-            "revoke": self.revoke, "open": self.open, "close": self.close, "add": self.order,
-            "add-standby": self.order, "promote": self.order, "remove": self.order, "transfer": self.order,
-            "snapshot": self.snapshot,
+            "revoke": self.revoke, "open": self.open, "close": self.close, "add": self.change_membership,
+            "add-standby": self.change_membership, "promote": self.change_membership,
+            "remove": self.change_membership, "transfer": self.change_membership, "snapshot": self.snapshot,
         }  # fmt: skip
 
-    def call(self, caller: ManagementConnection, said: bytes) -> None:
-        """Carry out one line of JSON."""
+    def call(self, caller: ManagementConnection, arguments: bytes) -> None:
+        """Handle one call: a line of JSON without the first word. Each call gets a reply."""
         try:
-            asked: Any = orjson.loads(said)
-            if not isinstance(asked, dict):
-                raise BadCall("an object is needed")
-            call = self.calls.get(asked.get("op", ""))
-            if call is None:
-                raise BadCall(f"op: {asked.get('op')!r}; there are {', '.join(self.calls)}")
-            caller.set_timeout(self.within(asked) + 2000.0)
-            self.host.counters.add(f"in.calls.store.{asked['op']}")
-            call(caller, asked)
-        except (orjson.JSONDecodeError, BadCall) as error:
+            fields: Any = orjson.loads(arguments)
+            if not isinstance(fields, dict):
+                raise InvalidCallError("an object is needed")
+            handler = self.handlers.get(fields.get("op", ""))
+            if handler is None:
+                raise InvalidCallError(f"op: {fields.get('op')!r}; there are {', '.join(self.handlers)}")
+            caller.set_timeout(self.timeout_ms(fields) + 2000.0)
+            self.host.counters.add(f"in.calls.store.{fields['op']}")
+            handler(caller, fields)
+        except (orjson.JSONDecodeError, InvalidCallError) as error:
             self.host.counters.add("in.calls_bad")
-            fail(caller, "bad", str(error))
+            reply_error(caller, "bad", str(error))
 
-    def within(self, asked: dict[str, Any]) -> float:
-        """How long a call may take, in ms. Raises `BadCall`."""
-        ms = asked.get("within_ms", WITHIN)
-        if isinstance(ms, bool) or not isinstance(ms, int | float) or not 0 < ms <= MOST_WITHIN:
-            raise BadCall(f"within_ms: {ms!r}; up to {MOST_WITHIN:g} is expected")
+    def timeout_ms(self, fields: dict[str, Any]) -> float:
+        """How long a call may take (its field `within_ms`). Raises `InvalidCallError`."""
+        ms = fields.get("within_ms", DEFAULT_TIMEOUT_MS)
+        if isinstance(ms, bool) or not isinstance(ms, int | float) or not 0 < ms <= MAX_TIMEOUT_MS:
+            raise InvalidCallError(f"within_ms: {ms!r}; up to {MAX_TIMEOUT_MS:g} is expected")
         return float(ms)
 
     # -- reading
 
-    def status(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """How this member stands."""
-        succeed(caller, **self.host.status())
+    def status(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Reply with the status of this member."""
+        reply_success(caller, **self.host.status())
 
-    def read(self, caller: ManagementConnection, asked: dict[str, Any], then: Callable[[], None]) -> None:
-        """Once what is here covers all that was committed before; `stale`: as it is."""
-        if asked.get("stale") is True:
-            then()
+    def read_consistently(
+        self, caller: ManagementConnection, fields: dict[str, Any], reply: Callable[[], None]
+    ) -> None:
+        """Call `reply` once the state here includes all that was committed before; with `stale`, at once."""
+        if fields.get("stale") is True:
+            reply()
             return
 
         def done(error: Exception | None) -> None:
             if error is None:
-                then()
+                reply()
             else:
-                failed(caller, error)
+                reply_exception(caller, error)
 
-        self.host.member.read(done, self.loop.clock.now(), self.within(asked))
+        self.host.member.read(done, self.loop.clock.now(), self.timeout_ms(fields))
 
-    def get(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """One document."""
-        name = text(asked, "name")
+    def get(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Reply with one document."""
+        name = text_field(fields, "name")
 
-        def then() -> None:
+        def reply() -> None:
             document = self.host.member.store.get(name)
             if document is None:
-                fail(caller, "absent", f"there is no document {name!r}")
+                reply_error(caller, "absent", f"there is no document {name!r}")
             else:
-                succeed(caller, revision=self.host.member.store.revision, document=shown(document))
+                reply_success(
+                    caller, revision=self.host.member.store.revision, document=document_row(document)
+                )
 
-        self.read(caller, asked, then)
+        self.read_consistently(caller, fields, reply)
 
-    def range(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """Documents by prefix, as many as fit one line."""
-        prefix, after, most = text(asked, "prefix", ""), text(asked, "after", ""), number(asked, "most", 100)
+    def range(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Reply with documents by prefix, as many as fit one line; `more` tells whether others follow."""
+        prefix, after, most = (
+            text_field(fields, "prefix", ""),
+            text_field(fields, "after", ""),
+            number_field(fields, "most", 100),
+        )
 
-        def then() -> None:
+        def reply() -> None:
             store = self.host.member.store
             found, size = store.range(prefix, after, min(most, 1000)), 0
             rows: list[dict[str, Any]] = []
             for document in found:
                 size += len(document.value)
-                if rows and size > PART:
+                if rows and size > MAX_LINE_PAYLOAD_BYTES:
                     break
-                rows.append(shown(document))
+                rows.append(document_row(document))
             more = bool(rows) and len(store.range(prefix, rows[-1]["name"], 1)) > 0
-            succeed(caller, revision=store.revision, documents=rows, more=more)
+            reply_success(caller, revision=store.revision, documents=rows, more=more)
 
-        self.read(caller, asked, then)
+        self.read_consistently(caller, fields, reply)
 
-    def history(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """A document's changes that are still remembered."""
-        name = text(asked, "name")
+    def history(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Reply with the latest changes of a document, as far as they are kept and fit one line."""
+        name = text_field(fields, "name")
 
-        def then() -> None:
+        def reply() -> None:
             store = self.host.member.store
             events = [e for e in store.events_since(store.oldest, name) if e.name == name]
             size = 0
             rows: list[dict[str, Any]] = []
             for event in reversed(events):
                 size += len(event.value or b"")
-                if rows and size > PART:
+                if rows and size > MAX_LINE_PAYLOAD_BYTES:
                     break
-                rows.append(told(event))
-            succeed(caller, revision=store.revision, oldest=store.oldest, events=rows[::-1])
+                rows.append(event_row(event))
+            reply_success(caller, revision=store.revision, oldest=store.oldest, events=rows[::-1])
 
-        self.read(caller, asked, then)
+        self.read_consistently(caller, fields, reply)
 
-    def watch(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """A line for each change, until the caller goes."""
+    def watch(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Write a line for each revision that changes matching documents, until the caller disconnects."""
         member = self.host.member
-        prefix, after = text(asked, "prefix", ""), number(asked, "after", member.store.revision)
+        prefix, after = text_field(fields, "prefix", ""), number_field(fields, "after", member.store.revision)
         watch: Watch | None = None
         generation = member.born.generation
-        if number(asked, "generation", generation) != generation:
-            fail(caller, "compacted", f"the store has begun anew: its generation is {generation}")
+        if number_field(fields, "generation", generation) != generation:
+            reply_error(caller, "compacted", f"the store has begun anew: its generation is {generation}")
             return
 
-        def tell(events: list[Event] | None) -> None:
+        def write_events(events: list[Event] | None) -> None:
             if events is None:
-                fail(caller, "compacted", str(Compacted(member.store.oldest)))
+                reply_error(caller, "compacted", str(Compacted(member.store.oldest)))
                 return
             for revision, rows in itertools.groupby(events, lambda e: e.revision):
-                line = {"ok": True, "revision": revision, "events": [told(e) for e in rows]}
+                line = {"ok": True, "revision": revision, "events": [event_row(e) for e in rows]}
                 caller.write_line(orjson.dumps(line).decode())
 
-        def gone() -> None:
+        def stop_watch() -> None:
             if watch is not None:
                 member.unwatch(watch)
 
         caller.set_timeout(None)
-        caller.on_disconnect = gone
-        said = {"ok": True, "watching": prefix, "revision": after, "generation": generation}
-        caller.write_line(orjson.dumps(said).decode())
+        caller.on_disconnect = stop_watch
+        header = {"ok": True, "watching": prefix, "revision": after, "generation": generation}
+        caller.write_line(orjson.dumps(header).decode())
         try:
-            watch = member.watch(prefix, after, tell)
+            watch = member.watch(prefix, after, write_events)
         except (Compacted, Refused) as error:
-            failed(caller, error)
+            reply_exception(caller, error)
 
-    def snapshot(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """All of it as lines of base64, the last of them empty; see `store restore`."""
+    def snapshot(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Write a header, the serialized state in lines of base64, and an empty line; see `store restore`."""
 
-        def then() -> None:
+        def reply() -> None:
             image = self.host.member.store.image()
-            head = {"ok": True, "bytes": len(image), "generation": self.host.member.born.generation}
-            caller.write_line(orjson.dumps(head).decode())
-            for at in range(0, len(image), PART):
-                caller.write_line(base64.b64encode(image[at : at + PART]).decode())
+            header = {"ok": True, "bytes": len(image), "generation": self.host.member.born.generation}
+            caller.write_line(orjson.dumps(header).decode())
+            for start in range(0, len(image), MAX_LINE_PAYLOAD_BYTES):
+                caller.write_line(base64.b64encode(image[start : start + MAX_LINE_PAYLOAD_BYTES]).decode())
             caller.reply("")
 
-        self.read(caller, asked, then)
+        self.read_consistently(caller, fields, reply)
 
     # -- changing
 
-    def submit(self, caller: ManagementConnection, asked: dict[str, Any], op: state.Operation) -> None:
-        """Have a command committed, and give the caller its answer."""
-        client = text(asked, "client", "")
-        first = number(asked, "number", 0) if client else self.host.member.rng.getrandbits(53)
+    def submit(self, caller: ManagementConnection, fields: dict[str, Any], op: state.Operation) -> None:
+        """Submit a command and reply with its answer once it is committed."""
+        client = text_field(fields, "client", "")
+        command_number = number_field(fields, "number", 0) if client else self.host.member.rng.getrandbits(53)
 
         def done(answer: Answer | Exception) -> None:
             if isinstance(answer, Exception):
-                failed(caller, answer)
+                reply_exception(caller, answer)
             elif answer.error:
-                fail(caller, "refused", answer.error)
+                reply_error(caller, "refused", answer.error)
             elif not answer.ok:
-                fail(caller, "differs", "a document is not at the revision that was named")
+                reply_error(caller, "differs", "a document is not at the revision that was named")
             else:
-                more = {"lease": answer.lease} if answer.lease else {}
-                succeed(caller, revision=answer.revision, **more)
+                extra = {"lease": answer.lease} if answer.lease else {}
+                reply_success(caller, revision=answer.revision, **extra)
 
-        self.host.member.submit(client, first, op, done, self.loop.clock.now(), self.within(asked))
+        self.host.member.submit(
+            client, command_number, op, done, self.loop.clock.now(), self.timeout_ms(fields)
+        )
 
-    def transact(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """Some changes at once, if what they expect holds."""
+    def transact(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Submit a transaction of puts and deletes, with the comparisons on which it depends."""
         ops: list[Put | Delete] = []
-        for row in rows_of(asked, "puts"):
-            ops.append(Put(text(row, "name"), value(row), number(row, "lease", 0)))
-        ops += [Delete(text({"name": name}, "name")) for name in asked.get("deletes") or []]
-        compares = [Compare(text(row, "name"), number(row, "revision")) for row in rows_of(asked, "compares")]
-        self.submit(caller, asked, Transaction(ops, compares))
-
-    def grant(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """A lease."""
-        self.submit(caller, asked, Grant(float(number(asked, "ttl_ms"))))
-
-    def keep(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
+        for row in object_list_field(fields, "puts"):
+            ops.append(Put(text_field(row, "name"), decode_value(row), number_field(row, "lease", 0)))
+        ops += [Delete(text_field({"name": name}, "name")) for name in fields.get("deletes") or []]
+        compares = [
+            Compare(text_field(row, "name"), number_field(row, "revision"))
+            for row in object_list_field(fields, "compares")
+        ]
+        self.submit(caller, fields, Transaction(ops, compares))
+
+    def grant(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Grant a lease of `ttl_ms`."""
+        self.submit(caller, fields, Grant(float(number_field(fields, "ttl_ms"))))
+
+    def keep(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
         """Renew a lease."""
-        self.submit(caller, asked, Keep(number(asked, "lease")))
+        self.submit(caller, fields, Keep(number_field(fields, "lease")))
 
-    def revoke(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
+    def revoke(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
         """End a lease."""
-        self.submit(caller, asked, Revoke(number(asked, "lease")))
+        self.submit(caller, fields, Revoke(number_field(fields, "lease")))
 
-    def open(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """Begin a numbered client."""
-        self.submit(caller, {**asked, "number": 0}, Open(text(asked, "client")))
+    def open(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Open the session of a client."""
+        self.submit(caller, {**fields, "number": 0}, Open(text_field(fields, "client")))
 
-    def close(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """End a numbered client."""
-        self.submit(caller, {**asked, "client": ""}, Close(text(asked, "client")))
+    def close(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Close the session of a client."""
+        self.submit(caller, {**fields, "client": ""}, Close(text_field(fields, "client")))
 
-    def order(self, caller: ManagementConnection, asked: dict[str, Any]) -> None:
-        """Change who the members are."""
-        name, where = text(asked, "name"), ""
-        if asked["op"] in ("add", "add-standby"):
-            where = text(asked, "address")
+    def change_membership(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
+        """Add, promote or remove a member, or transfer the leadership; `op` says which."""
+        name, address = text_field(fields, "name"), ""
+        if fields["op"] in ("add", "add-standby"):
+            address = text_field(fields, "address")
             if not NAME_PATTERN.fullmatch(name):
-                raise BadCall(f"name: {name!r}; up to 64 letters, digits and ._- are expected")
+                raise InvalidCallError(f"name: {name!r}; up to 64 letters, digits and ._- are expected")
             try:
-                parse_address(where, "address")
+                parse_address(address, "address")
             except ValueError as error:
-                raise BadCall(str(error)) from None
+                raise InvalidCallError(str(error)) from None
 
         def done(error: Exception | None) -> None:
             if error is not None:
-                failed(caller, error)
+                reply_exception(caller, error)
             else:
                 config = self.host.member.raft.log.config
-                succeed(caller, voters=config.voters, learners=config.learners, standbys=config.standbys)
+                reply_success(
+                    caller, voters=config.voters, learners=config.learners, standbys=config.standbys
+                )
 
         now = self.loop.clock.now()
-        self.host.member.order(asked["op"], name, where, done, now, self.within(asked))
+        self.host.member.order(fields["op"], name, address, done, now, self.timeout_ms(fields))
 
 
-# -- JSON
+# -- replies and fields in JSON
 
 
-def succeed(caller: ManagementConnection, **said: Any) -> None:
-    """Reply that it was done, with these fields."""
-    caller.reply(orjson.dumps({"ok": True, **said}).decode())
+def reply_success(caller: ManagementConnection, **fields: Any) -> None:
+    """Reply that the call succeeded, with these fields."""
+    caller.reply(orjson.dumps({"ok": True, **fields}).decode())
 
 
-def fail(caller: ManagementConnection, kind: str, error: str) -> None:
-    """Reply that it was not; `kind` is one of `KINDS`."""
-    assert kind in KINDS
+def reply_error(caller: ManagementConnection, kind: str, error: str) -> None:
+    """Reply that the call failed; `kind` is one of `ERROR_KINDS`."""
+    assert kind in ERROR_KINDS
     caller.reply(orjson.dumps({"ok": False, "kind": kind, "error": error}).decode())
 
 
-def failed(caller: ManagementConnection, error: Exception) -> None:
-    """Reply with what an exception says."""
+def reply_exception(caller: ManagementConnection, error: Exception) -> None:
+    """Reply that the call failed with this exception."""
     if isinstance(error, NotLeader):
-        fail(caller, "no-leader", f"{error}: nothing has been changed")
+        reply_error(caller, "no-leader", f"{error}: nothing has been changed")
     elif isinstance(error, Compacted):
-        fail(caller, "compacted", str(error))
+        reply_error(caller, "compacted", str(error))
     elif isinstance(error, Unavailable):
-        fail(caller, "unknown", str(error))
+        reply_error(caller, "unknown", str(error))
     else:
-        fail(caller, "refused", str(error))
+        reply_error(caller, "refused", str(error))
 
 
-def text(asked: dict[str, Any], field: str, default: str | None = None) -> str:
-    """A field that is text. Raises `BadCall`."""
-    said = asked.get(field, default)
-    if not isinstance(said, str):
-        raise BadCall(f"{field}: {said!r}; text is expected")
-    return said
+def text_field(fields: dict[str, Any], field: str, default: str | None = None) -> str:
+    """Return a field that must be text. Raises `InvalidCallError`."""
+    found = fields.get(field, default)
+    if not isinstance(found, str):
+        raise InvalidCallError(f"{field}: {found!r}; text is expected")
+    return found
 
 
-def number(asked: dict[str, Any], field: str, default: int | None = None) -> int:
-    """A field that is a whole number. Raises `BadCall`."""
-    said = asked.get(field, default)
-    if isinstance(said, bool) or not isinstance(said, int) or said < 0:
-        raise BadCall(f"{field}: {said!r}; a whole number is expected")
-    return said
+def number_field(fields: dict[str, Any], field: str, default: int | None = None) -> int:
+    """Return a field that must be a whole number, 0 or more. Raises `InvalidCallError`."""
+    found = fields.get(field, default)
+    if isinstance(found, bool) or not isinstance(found, int) or found < 0:
+        raise InvalidCallError(f"{field}: {found!r}; a whole number is expected")
+    return found
 
 
-def rows_of(asked: dict[str, Any], field: str) -> list[dict[str, Any]]:
-    """A field that is a list of objects. Raises `BadCall`."""
-    rows = asked.get(field) or []
+def object_list_field(fields: dict[str, Any], field: str) -> list[dict[str, Any]]:
+    """Return a field that must be a list of objects, empty if absent. Raises `InvalidCallError`."""
+    rows = fields.get(field) or []
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        raise BadCall(f"{field}: a list of objects is expected")
+        raise InvalidCallError(f"{field}: a list of objects is expected")
     return rows
 
 
-def value(row: dict[str, Any]) -> bytes:
-    """A row's value, from base64. Raises `BadCall`."""
+def decode_value(row: dict[str, Any]) -> bytes:
+    """Decode the value of a row from base64. Raises `InvalidCallError`."""
     try:
-        return base64.b64decode(text(row, "value"), validate=True)
+        return base64.b64decode(text_field(row, "value"), validate=True)
     except binascii.Error as error:
-        raise BadCall(f"value: {error}") from None
+        raise InvalidCallError(f"value: {error}") from None
 
 
-def shown(document: Document) -> dict[str, Any]:
-    """A document as JSON shows it."""
+def document_row(document: Document) -> dict[str, Any]:
+    """A document as a JSON object."""
     return {
         "name": document.name, "value": base64.b64encode(document.value).decode(),
         "revision": document.revision, "created": document.created, "lease": document.lease,
     }  # fmt: skip
 
 
-def told(event: Event) -> dict[str, Any]:
-    """An event as JSON shows it."""
-    held = base64.b64encode(event.value).decode() if event.value is not None else None
-    return {"revision": event.revision, "name": event.name, "value": held}
+def event_row(event: Event) -> dict[str, Any]:
+    """An event as a JSON object; `value` is null if the document was deleted."""
+    encoded = base64.b64encode(event.value).decode() if event.value is not None else None
+    return {"revision": event.revision, "name": event.name, "value": encoded}
--- a/eiderpin/store/hints.py
+++ b/eiderpin/store/hints.py
@@ -1,6 +1,7 @@
-"""What a dispatcher has learned of workers, as a hint to one that begins: documents `learned/NAME`. Pure.
+"""Warm-start hints: what a dispatcher has learned about workers, for one that starts. No I/O.
 
-The decisions take a hint only before their own first run; what is older than `OLDEST` is not given to them.
+Each dispatcher stores its hint as document `learned/NAME`. The decisions accept a hint only before their own
+first run. Hints that are older than `MAX_AGE_MS` are not used.
 """
 
 from __future__ import annotations
@@ -12,22 +13,26 @@
 from eiderpin.core.learned import Learned, parse
 
 PREFIX = "learned/"
-OLDEST = 600_000.0  # ms of wall-clock time
-AHEAD = 60_000.0  # ms that its writer's clock may be ahead of ours
-MOST = 200 << 10  # bytes; a larger one is not written
+MAX_AGE_MS = 600_000.0  # by the wall clock
+MAX_CLOCK_AHEAD_MS = 60_000.0  # how far the writer's wall clock may be ahead of the reader's
+MAX_HINT_BYTES = 200 << 10  # a larger hint is not written
 
 
 def pack(learned: Learned, at: float) -> bytes | None:
-    """None: there is nothing to say, or too much."""
+    """Serialize a hint learned at wall-clock time `at`, in ms. None if it is empty or too large."""
     data = orjson.dumps({"at": at, "learned": learned}) if learned else b""
-    return data if 0 < len(data) <= MOST else None
+    return data if 0 < len(data) <= MAX_HINT_BYTES else None
 
 
 def read(value: bytes, now: float) -> Learned | None:
-    """None: it is too old, or its time makes no sense. Raises `ValueError`."""
+    """Deserialize a hint at wall-clock time `now`, in ms. None if it is too old, or too far in the future.
+
+    Raises:
+        ValueError: It is not a hint.
+    """
     try:
-        said: Any = orjson.loads(value)
-        at, learned = float(said["at"]), parse(said["learned"])
+        decoded: Any = orjson.loads(value)
+        at, learned = float(decoded["at"]), parse(decoded["learned"])
     except (orjson.JSONDecodeError, TypeError, KeyError, AttributeError, ValueError) as error:
-        raise ValueError(f"no hint: {error!r}") from None
-    return learned if now - OLDEST <= at <= now + AHEAD else None
+        raise ValueError(f"not a hint: {error!r}") from None
+    return learned if now - MAX_AGE_MS <= at <= now + MAX_CLOCK_AHEAD_MS else None
--- a/eiderpin/store/names.py
+++ b/eiderpin/store/names.py
@@ -1,10 +1,12 @@
-"""Names under which the store holds what dispatchers know of each other and share."""
+"""Names and name prefixes of the documents through which dispatchers share their state."""
 
-LIVE_MEMBERS = "dispatchers/"  # and a dispatcher's name: a dispatcher that is a member is live
-OBSERVERS = "observers/"  # and a member's name: the observers that it announces (`presence`)
-IN_FORCE = "in_force/"  # and a member's name: what its observers have in force (`in_force`)
+LIVE_MEMBERS = (
+    "dispatchers/"  # + dispatcher name: present while that dispatcher, a member of the store, is live
+)
+OBSERVERS = "observers/"  # + member name: the observers that it announces, see `presence`
+IN_FORCE = "in_force/"  # + member name: what its observers have in force, see `in_force`
 CURRENT_CONFIG = "config/current"  # a line with the version, then the text of the shared configuration
-CONFIG_VERSIONS = "config/versions/"  # and a number: its text
-WORKER_OVERRIDES = "orders/workers/"  # and a worker's name: an operator's override (`orders`)
+CONFIG_VERSIONS = "config/versions/"  # + version number: the text of that version
+WORKER_OVERRIDES = "orders/workers/"  # + worker name: an operator's override, see `orders`
 
-OBSERVED_PREFIXES = (CURRENT_CONFIG, WORKER_OVERRIDES)  # prefixes of the documents that observers follow
+OBSERVED_PREFIXES = (CURRENT_CONFIG, WORKER_OVERRIDES)  # documents that observers follow
--- a/eiderpin/store/state.py
+++ b/eiderpin/store/state.py
@@ -1,8 +1,10 @@
-"""What the store keeps: named documents with revisions, leases, clients' last answers. Pure and
-deterministic: the same commands in the same order give the same state, byte for byte, on every member.
+"""The replicated state machine of the store: named documents with revisions, leases, and client sessions.
 
-Time here is the store's own, in ms: a leader counts it while any lease is out, and says it in `Expire`. So no
-member's clock matters, and time without a leader counts against no lease.
+It does no I/O and is deterministic: the same commands in the same order give the same state, byte for byte,
+on every member.
+
+Time is logical, in ms: the leader advances it with `Expire` commands while any lease is held. So no member's
+clock matters, and a period without a leader does not shorten any lease.
 """
 
 from __future__ import annotations
@@ -13,28 +15,30 @@
 
 import msgspec
 
-MOST_NAME = 512  # bytes
-MOST_DOCUMENT = 256 << 10
-MOST_TRANSACTION = 512 << 10  # bytes of all that one puts
-MOST_DOCUMENTS = 100_000
-MOST_BYTES = 64 << 20  # of all documents
-MOST_OPS = 128  # in one transaction
-MOST_LEASES = 10_000
-MOST_SESSIONS = 10_000
-HISTORY = 10_000  # events that a watch may resume from ...
-HISTORY_BYTES = 16 << 20  # ... of so many bytes at most
-TTL = (1_000.0, 86_400_000.0)  # ms
+MAX_NAME_BYTES = 512
+MAX_DOCUMENT_BYTES = 256 << 10
+MAX_TRANSACTION_BYTES = 512 << 10  # sum of the values that one transaction puts
+MAX_DOCUMENTS = 100_000
+MAX_STORE_BYTES = 64 << 20  # names and values of all documents
+MAX_OPS = 128  # changes in one transaction, and likewise comparisons
+MAX_LEASES = 10_000
+MAX_SESSIONS = 10_000
+MAX_HISTORY_EVENTS = 10_000  # events kept so that watches can resume
+MAX_HISTORY_BYTES = 16 << 20
+TTL_RANGE_MS = (1_000.0, 86_400_000.0)  # shortest and longest lease
 
 
 class StoreError(Exception):
-    """A command that can't be carried out; the message says why. Nothing has changed."""
+    """A command that cannot be executed; the message says why. The state is unchanged.
+
+    The message becomes `Answer.error`, which is part of the replicated state."""
 
 
 class Compacted(Exception):
-    """Events before `oldest` are forgotten: read the documents anew and watch from there."""
+    """Events before revision `oldest` are no longer kept: read the documents again and watch from there."""
 
     def __init__(self, oldest: int) -> None:
-        """`oldest`: the first revision that is still here."""
+        """`oldest`: the first revision whose events are still kept."""
         super().__init__(f"events before revision {oldest} are forgotten")
         self.oldest = oldest
 
@@ -44,7 +48,7 @@
 
 
 class Put(_Record, tag=1, array_like=True, frozen=True):
-    """Make this the value of a document; with `lease`, until that ends."""
+    """Set the value of a document. With `lease`, the document is deleted when that lease ends."""
 
     name: str
     value: bytes
@@ -52,27 +56,27 @@
 
 
 class Delete(_Record, tag=2, array_like=True, frozen=True):
-    """Let a document go, if there is one."""
+    """Delete a document, if it exists."""
 
     name: str
 
 
 class Compare(_Record, array_like=True, frozen=True):
-    """The document's revision must be this; 0: there is none."""
+    """Condition: the document is at this revision; 0: it does not exist."""
 
     name: str
     revision: int
 
 
 class Transaction(_Record, tag=1, array_like=True, frozen=True):
-    """All of `ops`, if all of `compares` hold."""
+    """Apply all of `ops` if all of `compares` hold, else none."""
 
     ops: list[Put | Delete]
     compares: list[Compare] = []
 
 
 class Grant(_Record, tag=2, array_like=True, frozen=True):
-    """A lease that ends `ttl` ms after it was last kept; what is put under it goes with it."""
+    """Create a lease. It ends `ttl` ms after its last renewal, and its documents are deleted with it."""
 
     ttl: float
 
@@ -84,25 +88,25 @@
 
 
 class Revoke(_Record, tag=4, array_like=True, frozen=True):
-    """End a lease, and what was put under it."""
+    """End a lease and delete its documents."""
 
     lease: int
 
 
 class Expire(_Record, tag=5, array_like=True, frozen=True):
-    """A leader's word that the store's time has come so far: leases that are over end."""
+    """Advance the store's time to `at` ms and end the leases that have expired."""
 
     at: float
 
 
 class Open(_Record, tag=6, array_like=True, frozen=True):
-    """A client begins; its commands are numbered from 1 on."""
+    """Open the session of a client, whose commands are numbered from 1."""
 
     client: str
 
 
 class Close(_Record, tag=7, array_like=True, frozen=True):
-    """A client ends; its last answer is forgotten."""
+    """Close the session of a client and discard its last answer."""
 
     client: str
 
@@ -111,8 +115,10 @@
 
 
 class Command(_Record, array_like=True, frozen=True):
-    """`client` and `number`: a repeated one is applied once, and answered as the first time. With an empty
-    `client` it is anybody's, and `number` only tells it from others."""
+    """An operation as it stands in the log.
+
+    A command that is repeated with the same `client` and `number` is applied once, and the repetition gets
+    the first answer. With an empty `client` there is no session, and `number` only tells commands apart."""
 
     client: str
     number: int
@@ -120,8 +126,14 @@
 
 
 class Answer(_Record, array_like=True, frozen=True):
-    """What came of a command. `revision`: the store's after it. `ok`: the compares held. `lease`: the one
-    that was granted. `error`: why it could not be carried out."""
+    """The result of a command.
+
+    Attributes:
+        revision: The revision of the store after the command.
+        ok: Whether the comparisons held and there was no error.
+        lease: The lease that was granted, or 0.
+        error: Why the command could not be executed, or empty.
+    """
 
     revision: int
     ok: bool = True
@@ -130,17 +142,17 @@
 
 
 class Document(_Record, array_like=True, frozen=True):
-    """A named value."""
+    """A named value and its revisions."""
 
     name: str
     value: bytes
-    revision: int  # of its last change
-    created: int  # of its first
+    revision: int  # of the last change
+    created: int  # revision of the first change
     lease: int = 0
 
 
 class Event(_Record, array_like=True, frozen=True):
-    """`value` None: deleted."""
+    """One change of a document; `value` is None if it was deleted."""
 
     revision: int
     name: str
@@ -150,24 +162,24 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease, and the documents under it."""
+    """A lease, and the names of its documents. Times in ms of the store's time."""
 
     id: int
     ttl: float
-    ends: float
+    expires_at: float
     names: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class Session:
-    """A client's last command, and what it was answered."""
+    """The number of a client's last command, and its answer."""
 
     number: int
     answer: Answer
 
 
 class _Image(msgspec.Struct, array_like=True):
-    """All of it, in a fixed order."""
+    """The whole state in a fixed order, as it is serialized."""
 
     now: float
     revision: int
@@ -178,39 +190,43 @@
     events: list[Event]
 
 
-_COMMAND = msgspec.msgpack.Decoder(Command)
+_COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 def pack(command: Command) -> bytes:
-    """A command as the log holds it."""
+    """Serialize a command for the log."""
     return _ENCODER.encode(command)
 
 
 def unpack(data: bytes) -> Command:
-    """Raises `msgspec.MsgspecError`."""
-    return _COMMAND.decode(data)
+    """Deserialize a command. Raises `msgspec.MsgspecError`."""
+    return _COMMAND_DECODER.decode(data)
 
 
 class Store:
-    """`history`: events that are kept for watches."""
+    """The state of the store on one member.
 
-    def __init__(self, history: int = HISTORY) -> None:
-        """Begin empty, at revision 0."""
+    Args:
+        history: How many events are kept for watches.
+    """
+
+    def __init__(self, history: int = MAX_HISTORY_EVENTS) -> None:
+        """Start empty, at revision 0."""
         self.history = history
         self.now = 0.0
         self.revision = 0
-        self.oldest = 1  # the first revision whose events are still here
+        self.oldest = 1  # the first revision whose events are still kept
         self.documents: dict[str, Document] = {}
         self.leases: dict[int, Lease] = {}
-        self.sessions: OrderedDict[str, Session] = OrderedDict()  # those that spoke longest ago first
+        self.sessions: OrderedDict[str, Session] = OrderedDict()  # least recently used first
         self.events: deque[Event] = deque()
         self.bytes = self.event_bytes = 0
 
     # -- commands
 
     def apply(self, command: Command) -> Answer:
-        """Carry one out. Whatever is wrong with it is in the answer."""
+        """Execute a command and return its answer; errors are reported in the answer, not raised."""
         if command.client:
             session = self.sessions.get(command.client)
             if isinstance(command.op, Open):
@@ -221,27 +237,27 @@
                 if command.number == session.number:
                     return session.answer
                 return Answer(self.revision, False, error=f"command {command.number} came before the last")
-            answer = self._carry_out(command.op)
-            if command.client in self.sessions:  # it may have closed itself
+            answer = self._execute(command.op)
+            if command.client in self.sessions:  # unless the command closed it
                 session.number, session.answer = command.number, answer
                 self.sessions.move_to_end(command.client)
             return answer
-        return self._carry_out(command.op)
+        return self._execute(command.op)
 
-    def _carry_out(self, op: Operation) -> Answer:
+    def _execute(self, op: Operation) -> Answer:
         try:
             if isinstance(op, Transaction):
                 return self._transact(op)
             if isinstance(op, Grant):
                 return self._grant(op)
             if isinstance(op, Keep):
-                self._lease(op.lease).ends = self.now + self._lease(op.lease).ttl
+                self._find_lease(op.lease).expires_at = self.now + self._find_lease(op.lease).ttl
             elif isinstance(op, Revoke):
-                self._end_lease(self._lease(op.lease))
+                self._end_lease(self._find_lease(op.lease))
             elif isinstance(op, Expire):
                 self.now = max(self.now, op.at)
                 for lease in sorted(self.leases.values(), key=lambda x: x.id):
-                    if lease.ends <= self.now:
+                    if lease.expires_at <= self.now:
                         self._end_lease(lease)
             elif isinstance(op, Open):
                 return self._open(op.client)
@@ -256,33 +272,33 @@
             return Answer(self.revision, False, error="a client's name has 1 to 128 characters")
         self.sessions.setdefault(client, Session(0, Answer(self.revision)))
         self.sessions.move_to_end(client)
-        while len(self.sessions) > MOST_SESSIONS:
+        while len(self.sessions) > MAX_SESSIONS:
             self.sessions.popitem(last=False)
         return Answer(self.revision)
 
     def _transact(self, op: Transaction) -> Answer:
-        if not 0 < len(op.ops) <= MOST_OPS or len(op.compares) > MOST_OPS:
-            raise StoreError(f"{len(op.ops)} changes in one transaction; 1 to {MOST_OPS} are taken")
+        if not 0 < len(op.ops) <= MAX_OPS or len(op.compares) > MAX_OPS:
+            raise StoreError(f"{len(op.ops)} changes in one transaction; 1 to {MAX_OPS} are taken")
         if any(self._revision_of(c.name) != c.revision for c in op.compares):
             return Answer(self.revision, False)
         size = sum(len(c.value) for c in op.ops if isinstance(c, Put))
-        if size > MOST_TRANSACTION:
-            raise StoreError(f"{size} bytes in one transaction; up to {MOST_TRANSACTION} are taken")
+        if size > MAX_TRANSACTION_BYTES:
+            raise StoreError(f"{size} bytes in one transaction; up to {MAX_TRANSACTION_BYTES} are taken")
         names, grown, added = set(), 0, 0
         for change in op.ops:
             if change.name in names:
                 raise StoreError(f"{change.name} is changed twice in one transaction")
             names.add(change.name)
             old = self.documents.get(change.name)
-            grown -= _size(old) if old is not None else 0
+            grown -= _document_size(old) if old is not None else 0
             added -= old is not None
             if isinstance(change, Put):
-                self._check(change)
+                self._check_put(change)
                 grown += len(change.name) + len(change.value)
                 added += 1
-        if grown > 0 and self.bytes + grown > MOST_BYTES:
-            raise StoreError(f"the store is full: {self.bytes} of {MOST_BYTES} bytes")
-        if added > 0 and len(self.documents) + added > MOST_DOCUMENTS:
+        if grown > 0 and self.bytes + grown > MAX_STORE_BYTES:
+            raise StoreError(f"the store is full: {self.bytes} of {MAX_STORE_BYTES} bytes")
+        if added > 0 and len(self.documents) + added > MAX_DOCUMENTS:
             raise StoreError(f"the store is full: {len(self.documents)} documents")
         changes = [c for c in op.ops if isinstance(c, Put) or c.name in self.documents]
         if changes:
@@ -292,65 +308,67 @@
                 self._put(change)
             else:
                 self._delete(change.name)
-        self._forget()
+        self._trim_history()
         return Answer(self.revision)
 
-    def _check(self, put: Put) -> None:
-        if not 0 < len(put.name.encode()) <= MOST_NAME:
-            raise StoreError(f"a name has 1 to {MOST_NAME} bytes")
-        if len(put.value) > MOST_DOCUMENT:
-            raise StoreError(f"{put.name}: {len(put.value)} bytes; up to {MOST_DOCUMENT} are taken")
+    def _check_put(self, put: Put) -> None:
+        if not 0 < len(put.name.encode()) <= MAX_NAME_BYTES:
+            raise StoreError(f"a name has 1 to {MAX_NAME_BYTES} bytes")
+        if len(put.value) > MAX_DOCUMENT_BYTES:
+            raise StoreError(f"{put.name}: {len(put.value)} bytes; up to {MAX_DOCUMENT_BYTES} are taken")
         if put.lease:
-            self._lease(put.lease)
+            self._find_lease(put.lease)
 
     def _put(self, put: Put) -> None:
         old = self.documents.get(put.name)
         created = old.created if old is not None else self.revision
         new = Document(put.name, put.value, self.revision, created, put.lease)
         if old is not None:
-            self._unlease(old)
-            self.bytes -= _size(old)
+            self._detach_from_lease(old)
+            self.bytes -= _document_size(old)
         self.documents[put.name] = new
-        self.bytes += _size(new)
+        self.bytes += _document_size(new)
         if put.lease:
             self.leases[put.lease].names.add(put.name)
-        self._note(Event(self.revision, put.name, put.value, put.lease))
+        self._append_event(Event(self.revision, put.name, put.value, put.lease))
 
     def _delete(self, name: str) -> None:
         old = self.documents.pop(name)
-        self._unlease(old)
-        self.bytes -= _size(old)
-        self._note(Event(self.revision, name, None))
+        self._detach_from_lease(old)
+        self.bytes -= _document_size(old)
+        self._append_event(Event(self.revision, name, None))
 
-    def _unlease(self, document: Document) -> None:
+    def _detach_from_lease(self, document: Document) -> None:
         lease = self.leases.get(document.lease)
         if lease is not None:
             lease.names.discard(document.name)
 
-    def _note(self, event: Event) -> None:
+    def _append_event(self, event: Event) -> None:
         self.events.append(event)
         self.event_bytes += _event_size(event)
 
-    def _forget(self) -> None:
-        """Keep the history within its bounds, by whole revisions."""
-        while self.events and (len(self.events) > self.history or self.event_bytes > HISTORY_BYTES):
-            gone = self.events[0].revision
-            while self.events and self.events[0].revision == gone:
+    def _trim_history(self) -> None:
+        """Drop the oldest events, by whole revisions, until the history is within its limits."""
+        while self.events and (len(self.events) > self.history or self.event_bytes > MAX_HISTORY_BYTES):
+            oldest = self.events[0].revision
+            while self.events and self.events[0].revision == oldest:
                 self.event_bytes -= _event_size(self.events.popleft())
-            self.oldest = gone + 1
+            self.oldest = oldest + 1
 
     # -- leases
 
     def _grant(self, op: Grant) -> Answer:
-        if not TTL[0] <= op.ttl <= TTL[1]:
-            raise StoreError(f"a lease of {op.ttl:g} ms; {TTL[0]:g} to {TTL[1]:g} are given")
-        if len(self.leases) >= MOST_LEASES:
-            raise StoreError(f"{MOST_LEASES} leases are out")
-        self.revision += 1  # so that its number is its own
+        if not TTL_RANGE_MS[0] <= op.ttl <= TTL_RANGE_MS[1]:
+            raise StoreError(
+                f"a lease of {op.ttl:g} ms; {TTL_RANGE_MS[0]:g} to {TTL_RANGE_MS[1]:g} are given"
+            )
+        if len(self.leases) >= MAX_LEASES:
+            raise StoreError(f"{MAX_LEASES} leases are out")
+        self.revision += 1  # the revision serves as the lease's number, which must be unique
         self.leases[self.revision] = Lease(self.revision, op.ttl, self.now + op.ttl)
         return Answer(self.revision, lease=self.revision)
 
-    def _lease(self, number: int) -> Lease:
+    def _find_lease(self, number: int) -> Lease:
         lease = self.leases.get(number)
         if lease is None:
             raise StoreError(f"there is no lease {number}, or it has ended")
@@ -363,11 +381,11 @@
         for name in names:
             self._delete(name)
         del self.leases[lease.id]
-        self._forget()
+        self._trim_history()
 
-    def next_end(self) -> float | None:
-        """When the first lease ends, in the store's time."""
-        return min((x.ends for x in self.leases.values()), default=None)
+    def next_lease_end(self) -> float | None:
+        """When the next lease expires, in ms of the store's time; None if there is no lease."""
+        return min((x.expires_at for x in self.leases.values()), default=None)
 
     # -- reading
 
@@ -376,16 +394,20 @@
         return document.revision if document is not None else 0
 
     def get(self, name: str) -> Document | None:
-        """A document; None: there is none of that name."""
+        """The document of this name, or None."""
         return self.documents.get(name)
 
     def range(self, prefix: str, after: str = "", most: int = 1000) -> list[Document]:
-        """Documents whose names begin so, in the order of names, those after `after`."""
+        """Up to `most` documents whose names start with `prefix` and come after `after`, ordered by name."""
         names = sorted(n for n in self.documents if n.startswith(prefix) and n > after)
         return [self.documents[n] for n in names[:most]]
 
     def events_since(self, revision: int, prefix: str = "") -> list[Event]:
-        """Events from `revision` on, oldest first. Raises `Compacted`."""
+        """Events from `revision` on, oldest first, of names that start with `prefix`.
+
+        Raises:
+            Compacted: Some of these events are no longer kept.
+        """
         if revision < self.oldest:
             raise Compacted(self.oldest)
         found = []
@@ -397,40 +419,40 @@
         found.reverse()
         return found
 
-    # -- as a whole
+    # -- serialization
 
     def image(self) -> bytes:
-        """All of it, as bytes; the same on every member that has applied the same."""
+        """Serialize the whole state; equal on all members that have applied the same commands."""
         return _ENCODER.encode(
             _Image(
                 self.now, self.revision, self.oldest, [self.documents[n] for n in sorted(self.documents)],
-                [(x.id, x.ttl, x.ends) for x in sorted(self.leases.values(), key=lambda x: x.id)],
+                [(x.id, x.ttl, x.expires_at) for x in sorted(self.leases.values(), key=lambda x: x.id)],
                 [(n, s.number, s.answer) for n, s in self.sessions.items()], list(self.events),
             )
         )  # fmt: skip
 
     @classmethod
-    def from_image(cls, image: bytes, history: int = HISTORY) -> Store:
-        """Raises `msgspec.MsgspecError`."""
+    def from_image(cls, image: bytes, history: int = MAX_HISTORY_EVENTS) -> Store:
+        """Restore a state from `image`; empty bytes give an empty store. Raises `msgspec.MsgspecError`."""
         store = cls(history)
         if not image:
             return store
-        got = msgspec.msgpack.decode(image, type=_Image)
-        store.now, store.revision, store.oldest = got.now, got.revision, got.oldest
-        store.leases = {number: Lease(number, ttl, ends) for number, ttl, ends in got.leases}
-        for document in got.documents:
+        decoded = msgspec.msgpack.decode(image, type=_Image)
+        store.now, store.revision, store.oldest = decoded.now, decoded.revision, decoded.oldest
+        store.leases = {number: Lease(number, ttl, expires_at) for number, ttl, expires_at in decoded.leases}
+        for document in decoded.documents:
             store.documents[document.name] = document
-            store.bytes += _size(document)
+            store.bytes += _document_size(document)
             if document.lease in store.leases:
                 store.leases[document.lease].names.add(document.name)
-        for name, number, answer in got.sessions:
+        for name, number, answer in decoded.sessions:
             store.sessions[name] = Session(number, answer)
-        for event in got.events:
-            store._note(event)
+        for event in decoded.events:
+            store._append_event(event)
         return store
 
 
-def _size(document: Document) -> int:
+def _document_size(document: Document) -> int:
     return len(document.name) + len(document.value)
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -603,9 +603,9 @@
         learned: Learned = {"fleet": {"": (1.0, 2.0, 3.0)}, "workers": {"w1": (1.0, 2.0, 3.0, 4.0)}}
         value = hints.pack(learned, 1e12)
         assert value is not None
-        self.assertEqual(hints.read(value, 1e12 + hints.OLDEST), learned)
-        self.assertIsNone(hints.read(value, 1e12 + hints.OLDEST + 1))
-        self.assertIsNone(hints.read(value, 1e12 - hints.AHEAD - 1))  # a clock that has jumped
+        self.assertEqual(hints.read(value, 1e12 + hints.MAX_AGE_MS), learned)
+        self.assertIsNone(hints.read(value, 1e12 + hints.MAX_AGE_MS + 1))
+        self.assertIsNone(hints.read(value, 1e12 - hints.MAX_CLOCK_AHEAD_MS - 1))  # a clock that has jumped
         self.assertIsNone(hints.pack({}, 1e12))
         self.assertIsNone(hints.pack({"workers": {f"w{i}": (1.0,) * 4 for i in range(20_000)}}, 1e12))
         for bad in (b"", b"1", b"{}", b'{"at":1,"learned":{"fleet":{"":[1]}}}',
--- a/tests/test_store_state.py
+++ b/tests/test_store_state.py
@@ -61,11 +61,11 @@
         store = Store()
         put(store, "a", b"1")
         before = store.image()
-        many = [Put(f"n{i}", b"") for i in range(state.MOST_OPS + 1)]
+        many = [Put(f"n{i}", b"") for i in range(state.MAX_OPS + 1)]
         for op, why in (
             (Transaction([]), "0 changes"), (Transaction(many), "changes in one"),
             (Transaction([Put("", b"")]), "a name has"), (Transaction([Put("x" * 600, b"")]), "a name has"),
-            (Transaction([Put("a", b"x" * (state.MOST_DOCUMENT + 1))]), "are taken"),
+            (Transaction([Put("a", b"x" * (state.MAX_DOCUMENT_BYTES + 1))]), "are taken"),
             (Transaction([Put(f"n{i}", b"x" * 200_000) for i in range(3)]), "bytes in one transaction"),
             (Transaction([Put("a", b""), Delete("a")]), "twice"),
             (Transaction([Put("a", b"", 7)]), "no lease 7"), (Grant(1.0), "1000 to"),
@@ -77,7 +77,7 @@
         self.assertEqual(store.image(), before)
 
     def test_a_full_store_takes_what_makes_it_smaller(self) -> None:
-        with mock.patch.object(state, "MOST_BYTES", 1000), mock.patch.object(state, "MOST_DOCUMENTS", 3):
+        with mock.patch.object(state, "MAX_STORE_BYTES", 1000), mock.patch.object(state, "MAX_DOCUMENTS", 3):
             store = Store()
             put(store, "a", b"x" * 900)
             self.assertIn("is full", put(store, "b", b"x" * 200).error)
@@ -115,7 +115,7 @@
         self.assertIn("came before", do(store, raise_it, "c", 1).error)
         do(store, Close("c"))
         self.assertIn("not known", do(store, raise_it, "c", 3).error)
-        with mock.patch.object(state, "MOST_SESSIONS", 2):
+        with mock.patch.object(state, "MAX_SESSIONS", 2):
             for name in ("d", "e", "f"):
                 do(store, Open(name), name, 0)
         self.assertEqual(list(store.sessions), ["e", "f"])
