--- a/eiderpin/store/admission.py
+++ b/eiderpin/store/admission.py
@@ -1,54 +1,54 @@
-"""How many snapshots a member begins to send: at a bounded rate, and so many at once. Pure; times in ms."""
+"""Admission of snapshots that a member sends: limits their rate and concurrency. No I/O; times in ms."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
 SNAPSHOTS_PER_SECOND = 100.0
-BURST = 10.0  # snapshots that may begin at once after a rest
-CONCURRENT = 32  # snapshots that are under way at once
+BURST_SNAPSHOTS = 10.0  # size of the token bucket
+MAX_CONCURRENT_SNAPSHOTS = 32
 
 
 class SnapshotAdmission:
-    """A token bucket with a queue in order of arrival.
+    """A token bucket with a first-in, first-out queue and a limit on unfinished snapshots.
 
     Args:
-        now: The time of the start.
-        per_second: Tokens a second.
-        burst: The size of the bucket.
-        concurrent: How many admitted snapshots may be unfinished at once.
+        now: The current time.
+        per_second: Tokens added per second; each snapshot takes one.
+        burst: Capacity of the bucket.
+        concurrent: How many admitted snapshots may be unfinished at the same time.
     """
 
     def __init__(
         self,
         now: float,
         per_second: float = SNAPSHOTS_PER_SECOND,
-        burst: float = BURST,
-        concurrent: int = CONCURRENT,
+        burst: float = BURST_SNAPSHOTS,
+        max_concurrent: int = MAX_CONCURRENT_SNAPSHOTS,
     ) -> None:
-        """Begin with a full bucket."""
-        self.per_second, self.burst, self.concurrent = per_second, burst, concurrent
+        """Start with a full bucket and an empty queue."""
+        self.per_second, self.burst, self.max_concurrent = per_second, burst, max_concurrent
         self.waiting: OrderedDict[int, None] = OrderedDict()
         self.running: set[int] = set()
         self._tokens = burst
         self._filled_at = now
 
-    def ask(self, key: int) -> None:
-        """Queue one snapshot; one that already waits keeps its place."""
+    def enqueue(self, key: int) -> None:
+        """Queue the snapshot of `key`. If it is queued already, it keeps its place."""
         self.waiting.setdefault(key, None)
 
-    def forget(self, key: int) -> None:
-        """The snapshot is finished, or no longer wanted."""
+    def release(self, key: int) -> None:
+        """Remove a snapshot that is finished or no longer wanted."""
         self.waiting.pop(key, None)
         self.running.discard(key)
 
     def admit(self, now: float) -> list[int]:
-        """The keys whose snapshot may begin now, in order of arrival."""
+        """Return the keys whose snapshots may start now, in order of arrival, and count them as running."""
         refill = (now - self._filled_at) * self.per_second / 1000.0
         self._tokens = min(self.burst, self._tokens + refill)
         self._filled_at = now
         admitted = []
-        while self.waiting and self._tokens >= 1.0 and len(self.running) < self.concurrent:
+        while self.waiting and self._tokens >= 1.0 and len(self.running) < self.max_concurrent:
             key, _ = self.waiting.popitem(last=False)
             self._tokens -= 1.0
             self.running.add(key)
--- a/eiderpin/store/observer_protocol.py
+++ b/eiderpin/store/observer_protocol.py
@@ -1,12 +1,12 @@
 """Messages between an observer (a dispatcher that follows the store without a disk or a vote) and a member.
 
-An observer connects, writes `MAGIC` and a `Subscribe`. The member answers `Accepted` or `Rejected`. After
+An observer connects and writes `MAGIC` and a `Subscribe`. The member answers `Accepted` or `Rejected`. After
 `Accepted` it sends either the changes since the observer's revision or a snapshot in pages, and from then on
-`Changes` as they are committed, with a `Ping` every second. Frames are those of `framing`; records are
-arrays, so fields are only ever added at the end, with a default.
+`Changes` as they are committed, with a `Ping` every second. Frames are those of `framing`. Records are
+encoded as arrays, so new fields may only be added at the end, with a default.
 
-A position in the store is a pair (generation, revision), ordered as such: a store that was restored begins
-the next generation, in which revisions may be lower.
+A position in the store is a pair (generation, revision), in this order of significance: a store that was
+restored starts the next generation, in which revisions may be lower.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 
 MAGIC = b"EIDOBSV\n"
 VERSION = 1
-MOST_OBSERVER_FRAME = 8 << 10  # bytes of a message that a member accepts from an observer
+MAX_OBSERVER_FRAME_BYTES = 8 << 10  # largest message that a member accepts from an observer
 
 
 class Rejection(Enum):
-    """Why a member does not serve an observer, or no longer does."""
+    """Why a member does not serve an observer, or stops serving it."""
 
-    MALFORMED = "malformed"  # not this protocol, or a message that has no place at this point
+    MALFORMED = "malformed"  # not this protocol, or a message that is not allowed at this point
     VERSION = "version"  # the observer speaks a newer protocol
     CLUSTER = "cluster"  # the observer follows another cluster
     GENERATION_AHEAD = "generation_ahead"  # the observer has seen a later generation of the cluster
     REVISION_AHEAD = "revision_ahead"  # the observer has seen a later revision than the member
-    FULL = "full"  # the member serves as many observers as it may
-    SILENT = "silent"  # it has not subscribed in time
-    UNRESPONSIVE = "unresponsive"  # its answers to pings stay out
-    SLOW = "slow"  # it does not read what it is sent
-    CLOSING = "closing"  # the member ends
+    FULL = "full"  # the member serves its maximum of observers
+    SILENT = "silent"  # the observer has not subscribed in time
+    UNRESPONSIVE = "unresponsive"  # the observer does not answer pings
+    SLOW = "slow"  # the observer does not read what it is sent
+    CLOSING = "closing"  # the member shuts down
 
 
 class ConfigOutcome(Enum):
-    """What became of a version of the shared configuration at one dispatcher."""
+    """The outcome of a version of the shared configuration at one dispatcher."""
 
     NONE = "none"  # there is no shared configuration
     IN_FORCE = "in_force"
-    RESTART_NEEDED = "restart_needed"  # some of it counts from the next start on
-    REJECTED = "rejected"  # it cannot be used there; the version before stays in force
+    RESTART_NEEDED = "restart_needed"  # some of it takes effect at the next start
+    REJECTED = "rejected"  # it cannot be used there; the previous version stays in force
 
 
 class _Message(msgspec.Struct, array_like=True, frozen=True):
@@ -55,14 +55,19 @@
 
 
 class Subscribe(_Message, tag=1, array_like=True, frozen=True):
-    """The first message.
+    """The first message from an observer.
 
     Attributes:
-        token: Drawn anew by each process, so that two with one name can be told apart.
-        session: Counts the subscriptions of this process; the highest one is where it is connected now.
+        version: The protocol version that the observer speaks.
+        cluster: The cluster that it follows.
+        name: The observer's name.
+        token: Drawn anew by each process, so that two with the same name can be told apart.
+        session: Counts the subscriptions of this process; the highest one is the connection in use.
         epoch: The revision at which this process was first announced in the store; 0 if it was not.
-        generation, revision: Where to resume; (0, 0) asks for a snapshot.
-        floor_generation, floor_revision: The latest position that was ever taken. Nothing older is of use.
+        region: Where the observer runs, for operators and for its choice of member.
+        generation, revision: The position from which to resume; (0, 0) asks for a snapshot.
+        floor_generation, floor_revision: The latest position that the observer has ever applied. It does not
+            accept an older state.
     """
 
     version: int
@@ -79,14 +84,14 @@
 
 
 class Report(_Message, tag=2, array_like=True, frozen=True):
-    """What the observer has in force: applied, not merely received. Sent when any of it changes.
+    """What the observer has applied, not merely received. Sent whenever any of it changes.
 
     Attributes:
         revision: Everything up to this revision has been applied.
-        config_version: The last version of the shared configuration that came; 0: there is none.
-        outcome: A `ConfigOutcome` value, what became of that version.
+        config_version: The last version of the shared configuration that was received; 0: there is none.
+        outcome: The outcome of that version, a value of `ConfigOutcome`.
         detail: Why it was rejected, or what needs a restart.
-        about: JSON for operators (address, state, stage), as dispatchers that are members put it.
+        about: JSON for operators (address, state, stage), as dispatchers that are members store it.
     """
 
     revision: int
@@ -103,14 +108,14 @@
 
 
 class Leave(_Message, tag=4, array_like=True, frozen=True):
-    """The process ends as planned: it need not be waited for."""
+    """The process shuts down as planned, so its announcement is removed at once."""
 
 
 # -- from a member
 
 
 class Accepted(_Message, tag=11, array_like=True, frozen=True):
-    """`resumes`: changes follow from the revision that was asked for; otherwise a snapshot does."""
+    """The subscription is accepted. If `resumes`, changes since its revision follow, else a snapshot."""
 
     version: int
     member: str
@@ -119,14 +124,14 @@
 
 
 class Rejected(_Message, tag=12, array_like=True, frozen=True):
-    """`kind` is a `Rejection` value; the connection is closed after it."""
+    """The observer is not served. `kind` is a value of `Rejection`. The connection is closed after it."""
 
     kind: str
     reason: str
 
 
 class SnapshotPage(_Message, tag=13, array_like=True, frozen=True):
-    """Some of the documents as of `revision`, in the order of names. `first` begins anew, `last` ends."""
+    """Some documents at `revision`, ordered by name. `first` starts a snapshot, `last` completes it."""
 
     revision: int
     documents: list[Document]
@@ -135,7 +140,7 @@
 
 
 class Changes(_Message, tag=14, array_like=True, frozen=True):
-    """All that changed after revision `base`, up to and with `revision`."""
+    """All changes after revision `base`, up to and including `revision`."""
 
     base: int
     revision: int
@@ -146,9 +151,10 @@
     """Sent every second, to be answered with a `Pong` of the same number.
 
     Attributes:
-        revision: Nothing that the observer lacks has changed up to here; -1 while it is not caught up.
-        stale_ms: For how long the member has not heard of a leader.
-        digest: Of the documents at `revision`, see `document_digest`; 0: not told this time.
+        number: Number of the ping.
+        revision: The observer has been sent all changes up to this revision; -1 while it is not caught up.
+        stale_ms: How long the member has had no message from a leader.
+        digest: Digest of the documents at `revision`, see `document_digest`; 0: not included.
     """
 
     number: int
@@ -158,20 +164,20 @@
 
 
 class Fleet(_Message, tag=16, array_like=True, frozen=True):
-    """How many dispatchers there are, and which one of them, from 0, the observer is."""
+    """The number of live dispatchers, and the observer's position among them, from 0."""
 
     instances: int
     instance: int
 
 
 class Announced(_Message, tag=17, array_like=True, frozen=True):
-    """The observer is known to all; `epoch` is to be given with later subscriptions."""
+    """The observer is announced in the store. It gives `epoch` in its later subscriptions."""
 
     epoch: int
 
 
 class Fenced(_Message, tag=18, array_like=True, frozen=True):
-    """A later process has the observer's name."""
+    """A later process owns the observer's name."""
 
 
 FromObserver: TypeAlias = Subscribe | Report | Pong | Leave
--- a/eiderpin/store/observer_registry.py
+++ b/eiderpin/store/observer_registry.py
@@ -1,5 +1,7 @@
-"""Who a member's observers are and what they have in force, without I/O: what the member announces in the
-store, and what each observer is told of the others. Times in ms.
+"""The registry of a member's observers: who they are and what they have in force. No I/O; times in ms.
+
+It builds the announcement that the member puts in the store, and the messages that tell each observer its
+place among the dispatchers.
 """
 
 from __future__ import annotations
@@ -13,131 +15,140 @@
 from eiderpin.store.names import CURRENT_CONFIG, IN_FORCE, LIVE_MEMBERS, OBSERVERS
 from eiderpin.store.observer_protocol import Announced, Fenced, Fleet, Report, Subscribe
 from eiderpin.store.observer_sessions import Effect, Send
-from eiderpin.store.presence import FoldedPresence, LiveDispatchers, ObserverEntry, ServedObservers
+from eiderpin.store.presence import LiveDispatchers, MergedPresence, ObserverEntry, ServedObservers
 from eiderpin.store.state import Event, Put
 
-FENCE_AFTER_MS = 4_000.0  # longer than a member takes to know, and to announce, that a connection is dead
+FENCE_AFTER_MS = 4_000.0  # longer than a member takes to detect and announce a dead connection
 
 
 @dataclass(slots=True)
-class _Connected:
-    """An observer with a connection here."""
+class _ConnectedObserver:
+    """An observer that is connected to this member.
+
+    Its epoch is 0 while the process is not announced.
+    """
 
     key: int
     name: str
     token: str
     epoch: int
-    fleet: tuple[int, int] | None = None  # as it was told last
+    sent_placement: tuple[int, int] | None = None  # as last sent to it
     fenced: bool = False
-    contested_at: float | None = None  # since when a later process with the name is announced, and connected
+    contested_at: float | None = None  # since when a later, connected process is announced by its name
 
     @property
     def rank(self) -> float:
-        """A process that was not announced yet began after all that were."""
+        """The epoch. A process that is not announced yet started after all that are."""
         return self.epoch or float("inf")
 
 
 class ObserverRegistry:
-    """The observers of one member.
+    """The observers that one member serves, and all that are announced.
 
     Args:
         member: The member's name.
     """
 
     def __init__(self, member: str) -> None:
-        """Begin without observers."""
+        """Start without observers."""
         self.member = member
         self.served = ServedObservers()
         self.counts = InForceCounts()
-        self.folded = FoldedPresence()
+        self.merged = MergedPresence()
         self.live = LiveDispatchers()
-        self._connected: dict[int, _Connected] = {}
-        self._by_name: dict[str, _Connected] = {}
+        self._connected: dict[int, _ConnectedObserver] = {}
+        self._by_name: dict[str, _ConnectedObserver] = {}
 
     # -- observers
 
-    def joined(self, key: int, asked: Subscribe, now: float) -> list[Effect]:
-        """An observer is served from now on. Of two processes with one name, the earlier one is fenced."""
-        new = _Connected(key, asked.name, asked.token, asked.epoch or self._epoch_of(asked))
+    def add_connection(self, key: int, subscribe: Subscribe, now: float) -> list[Effect]:
+        """Add an observer that is now served. Of two processes with one name, the earlier is fenced."""
+        new = _ConnectedObserver(
+            key, subscribe.name, subscribe.token, subscribe.epoch or self._find_epoch(subscribe)
+        )
         self._connected[key] = new
-        old = self._by_name.get(asked.name)
+        old = self._by_name.get(subscribe.name)
         effects: list[Effect] = []
         if old is not None and old.token != new.token:
             if new.rank < old.rank:
                 return self._fence(new)
             effects = self._fence(old)
-        self._by_name[asked.name] = new
-        self.served.connect(ObserverEntry(asked.name, asked.token, asked.session, new.epoch, asked.region))
-        self.counts.connect(asked.name, now)
+        self._by_name[subscribe.name] = new
+        self.served.add(
+            ObserverEntry(subscribe.name, subscribe.token, subscribe.session, new.epoch, subscribe.region)
+        )
+        self.counts.add_observer(subscribe.name, now)
         if new.epoch:
-            effects += self._compare(new, now)
-        if new.epoch and not asked.epoch and not new.fenced:
+            effects += self._check_ownership(new, now)
+        if new.epoch and not subscribe.epoch and not new.fenced:
             effects.append(Send([key], Announced(new.epoch)))
         return effects
 
-    def _epoch_of(self, asked: Subscribe) -> int:
-        """The epoch of a process that was announced without hearing of it; 0: it was not."""
-        live = self.folded.observers.get(asked.name)
-        return live.epoch if live is not None and live.entry.token == asked.token else 0
+    def _find_epoch(self, subscribe: Subscribe) -> int:
+        """Return the epoch of a process that was announced without being told; 0: it was not announced."""
+        live = self.merged.observers.get(subscribe.name)
+        return live.epoch if live is not None and live.entry.token == subscribe.token else 0
 
-    def reported(self, key: int, report: Report, now: float) -> None:
-        """An observer says what it has in force."""
+    def record_report(self, key: int, report: Report, now: float) -> None:
+        """Record what an observer has in force."""
         observer = self._connected.get(key)
         if observer is not None and self._by_name.get(observer.name) is observer:
-            self.counts.report(observer.name, report, now)
-            self.served.describe(observer.name, observer.token, report.about)
+            self.counts.record_report(observer.name, report, now)
+            self.served.set_about(observer.name, observer.token, report.about)
 
-    def left(self, key: int, now: float, planned: bool) -> None:
-        """A connection has ended; `planned`: the process said that it ends."""
+    def remove_connection(self, key: int, now: float, planned: bool) -> None:
+        """Remove a connection that has ended; `planned`: the process said that it shuts down."""
         observer = self._connected.pop(key, None)
         if observer is None or self._by_name.get(observer.name) is not observer:
             return
         del self._by_name[observer.name]
-        self.counts.disconnect(observer.name, now)
+        self.counts.remove_observer(observer.name, now)
         if planned:
             self.served.remove(observer.name, observer.token)
         else:
-            self.served.lose(observer.name, observer.token, now)
+            self.served.mark_disconnected(observer.name, observer.token, now)
 
     # -- the store
 
-    def applied(self, events: list[Event], now: float) -> list[Effect]:
-        """The member's state has changed by these events, of all names."""
+    def apply_events(self, events: list[Event], now: float) -> list[Effect]:
+        """Apply the events of a change of the member's state, whatever documents they concern."""
         effects: list[Effect] = []
         for event in events:
             if event.name.startswith(LIVE_MEMBERS):
                 self.live.set_member(event.name.removeprefix(LIVE_MEMBERS), event.value is not None)
             elif event.name.startswith(OBSERVERS):
-                self._announced(event.name.removeprefix(OBSERVERS), event.value, event.revision)
+                self._apply_announcement(event.name.removeprefix(OBSERVERS), event.value, event.revision)
             elif event.name == CURRENT_CONFIG:
-                self.counts.current(parse_config_version(event.value), now)
+                self.counts.set_current_version(parse_config_version(event.value), now)
         if any(event.name.startswith(OBSERVERS) for event in events):
             for observer in list(self._connected.values()):
-                effects += self._compare(observer, now)
+                effects += self._check_ownership(observer, now)
         return effects
 
-    def replaced(self, events: list[Event], now: float) -> list[Effect]:
-        """The member's state is what these events make it, whatever was known before."""
-        there = {event.name for event in events}
-        known = [OBSERVERS + member for member in self.folded.members()]
+    def replace_state(self, events: list[Event], now: float) -> list[Effect]:
+        """Replace everything known from the store by the state that consists of these events."""
+        present = {event.name for event in events}
+        known = [OBSERVERS + member for member in self.merged.members()]
         known += [LIVE_MEMBERS + name for name in self.live.members]
-        gone = [Event(0, name, None) for name in known if name not in there]
-        return self.applied(gone + events, now)
+        gone = [Event(0, name, None) for name in known if name not in present]
+        return self.apply_events(gone + events, now)
 
-    def _announced(self, member: str, value: bytes | None, revision: int) -> None:
+    def _apply_announcement(self, member: str, value: bytes | None, revision: int) -> None:
         try:
             entries = presence.read(value) if value is not None else None
         except msgspec.MsgspecError:
-            return  # as it was
-        if member == self.member:  # also of those whose connection is lost, who are announced for a while yet
+            return  # keep the previous entries
+        if (
+            member == self.member
+        ):  # including observers that lost their connection and stay announced for the lease
             for entry in entries or ():
-                self.served.announce(entry.name, entry.token, entry.epoch or revision)
-        self.folded.take(member, entries, revision)
+                self.served.set_epoch(entry.name, entry.token, entry.epoch or revision)
+        self.merged.set_entries(member, entries, revision)
         self.live.set_announced(member, entries)
 
-    def _compare(self, observer: _Connected, now: float) -> list[Effect]:
-        """See what the store says of one of our observers."""
-        live = self.folded.observers.get(observer.name)
+    def _check_ownership(self, observer: _ConnectedObserver, now: float) -> list[Effect]:
+        """Check whether one of our observers, or a later process by its name, has been announced."""
+        live = self.merged.observers.get(observer.name)
         if live is None or observer.fenced:
             return []
         if live.entry.token == observer.token:
@@ -152,7 +163,7 @@
             observer.contested_at = now
         return []
 
-    def _fence(self, observer: _Connected) -> list[Effect]:
+    def _fence(self, observer: _ConnectedObserver) -> list[Effect]:
         observer.fenced = True
         if self._by_name.get(observer.name) is observer:
             del self._by_name[observer.name]
@@ -162,33 +173,33 @@
     # -- time
 
     def tick(self, now: float) -> list[Effect]:
-        """Tell each observer its place among the dispatchers, where that has changed, and fence those whose
-        name a later process has held for long enough."""
-        self.served.expire(now)
+        """Send observers their place among the dispatchers if it has changed, and fence those whose name a
+        later process has owned for `FENCE_AFTER_MS`."""
+        self.served.remove_expired(now)
         effects: list[Effect] = []
         for observer in self._connected.values():
             contested = observer.contested_at
             if contested is not None and not observer.fenced and now >= contested + FENCE_AFTER_MS:
                 effects += self._fence(observer)
-            place = None if observer.fenced else self.live.placement(observer.name)
-            if place is not None and place != observer.fleet:
-                observer.fleet = place
-                effects.append(Send([observer.key], Fleet(*place)))
+            placement = None if observer.fenced else self.live.placement(observer.name)
+            if placement is not None and placement != observer.sent_placement:
+                observer.sent_placement = placement
+                effects.append(Send([observer.key], Fleet(*placement)))
         return effects
 
-    def announcement(self, lease: int, now: float, whole: bool) -> list[Put]:
-        """What is to be put in the store now; `whole`: also what has not changed since the last time."""
+    def build_announcement(self, lease: int, now: float, include_unchanged: bool) -> list[Put]:
+        """Return the documents to put now, by default only those that changed since the last call."""
         puts = []
-        if self.served.changed or whole:
+        if self.served.changed or include_unchanged:
             value = presence.pack(self.served.entries())
             puts.append(Put(OBSERVERS + self.member, value, lease))
-        if self.counts.changed or whole:
+        if self.counts.changed or include_unchanged:
             value = in_force.pack(self.counts.summary(now))
             puts.append(Put(IN_FORCE + self.member, value, lease))
         return puts
 
 
 def parse_config_version(value: bytes | None) -> int:
-    """The version that the value of `CURRENT_CONFIG` begins with; 0 if it has none."""
+    """Return the version at the start of the value of `CURRENT_CONFIG`; 0 if there is none."""
     number = (value or b"").partition(b"\n")[0]
     return int(number) if number.isdigit() else 0
--- a/tests/observer_sim.py
+++ b/tests/observer_sim.py
@@ -24,7 +24,7 @@
 from eiderpin.store.names import CURRENT_CONFIG, WORKER_OVERRIDES
 from eiderpin.store.observer_protocol import Report
 from eiderpin.store.observer_server import ObserverServer
-from eiderpin.store.observer_sessions import observed
+from eiderpin.store.observer_sessions import is_observed
 from eiderpin.store.raft import Role
 from eiderpin.store.state import Answer, Delete, Event, Put, Store, Transaction, unpack
 from tests.store_sim import Broken, Trouble, World
@@ -319,7 +319,7 @@
     def image(self) -> dict[str, tuple[bytes, int]]:
         found = {}
         for document in self.truth.documents.values():
-            if observed(document.name):
+            if is_observed(document.name):
                 found[document.name] = (document.value, document.revision)
         return found
 
@@ -364,8 +364,8 @@
             if self.followers[name].place != (len(ranked), place):
                 raise Broken(f"{name} believes it is {self.followers[name].place} of {ranked}")
         for member in self.live():
-            folded = self.servers[member].registry.folded.observers
-            tokens = {name: live.entry.token for name, live in folded.items()}
+            merged = self.servers[member].registry.merged.observers
+            tokens = {name: live.entry.token for name, live in merged.items()}
             if tokens != {name: f.copy.token for name, f in self.followers.items()}:
                 raise Broken(f"{member} knows {tokens}")
 
--- a/tests/test_observer_rules.py
+++ b/tests/test_observer_rules.py
@@ -51,7 +51,7 @@
 )
 from eiderpin.store.observer_registry import FENCE_AFTER_MS, ObserverRegistry, parse_config_version
 from eiderpin.store.observer_sessions import Effect, End, Joined, ObserverSessions, Phase, Send
-from eiderpin.store.presence import FoldedPresence, LiveDispatchers, ObserverEntry, ServedObservers
+from eiderpin.store.presence import LiveDispatchers, MergedPresence, ObserverEntry, ServedObservers
 from eiderpin.store.state import Command, Delete, Document, Event, Put, Store, Transaction
 
 ORDER = WORKER_OVERRIDES + "w1"
@@ -176,17 +176,17 @@
         self.store = Store(history=4)
         put(self.store, ORDER, b"a")
         put(self.store, "other", b"b")
-        self.sessions = ObserverSessions("c1", lambda: 1, "m0", lambda: self.store, 0.0, most=2)
+        self.sessions = ObserverSessions("c1", lambda: 1, "m0", lambda: self.store, 0.0, max_observers=2)
 
     def subscribe(
         self, key: int = 1, position: tuple[int, int] = (0, 0), floor: tuple[int, int] | None = None,
         cluster: str = "c1", version: int = VERSION,
     ) -> list[Effect]:  # fmt: skip
         asked = Subscribe(version, cluster, f"o{key}", "t", 1, 0, "", *position, *(floor or position))
-        return self.sessions.received(key, asked, 0.0)
+        return self.sessions.handle_message(key, asked, 0.0)
 
     def change(self, name: str, value: bytes = b"x") -> list[Effect]:
-        return self.sessions.applied([put(self.store, name, value)], 0.0)
+        return self.sessions.apply_events([put(self.store, name, value)], 0.0)
 
     def test_a_new_one_gets_a_snapshot_then_changes(self) -> None:
         accepted, joined, page = self.subscribe()
@@ -205,7 +205,7 @@
             with self.subTest(position=position):
                 effects = self.subscribe(9, position)
                 self.assertEqual(effects[0], Send([9], Accepted(VERSION, "m0", 1, resumes)))
-                self.sessions.closed(9)
+                self.sessions.remove(9)
         for number in range(6):
             self.change("other", b"%d" % number)  # the history holds four events
         self.assertEqual(self.subscribe(9, (1, 3))[0], Send([9], Accepted(VERSION, "m0", 1, False)))
@@ -239,7 +239,7 @@
         ]
         for what, key, message in cases:
             with self.subTest(what):
-                (ended,) = self.sessions.received(key, message, 0.0)
+                (ended,) = self.sessions.handle_message(key, message, 0.0)
                 assert isinstance(ended, End)
                 self.assertIs(ended.kind, Rejection.MALFORMED)
 
@@ -262,9 +262,9 @@
             for effect in self.sessions.tick(now, 0, 0.0):
                 if isinstance(effect, End):
                     ended.append((now, effect))
-                    self.sessions.closed(effect.key)
+                    self.sessions.remove(effect.key)
                 elif isinstance(effect, Send) and isinstance(effect.message, Ping) and 2 in effect.keys:
-                    self.sessions.received(2, Pong(effect.message.number), now)
+                    self.sessions.handle_message(2, Pong(effect.message.number), now)
         ((at, end),) = ended
         self.assertEqual((end.key, end.kind), (1, Rejection.UNRESPONSIVE))
         self.assertLess(at, 3000.0)
@@ -272,14 +272,14 @@
     def test_pages_go_one_by_one_and_changes_meanwhile_come_after_them(self) -> None:
         for number in range(3):
             put(self.store, f"{WORKER_OVERRIDES}big{number}", b"x" * observer_sessions.PAGE_BYTES)
-        self.sessions.replaced(0.0)
+        self.sessions.replace_state(0.0)
         _, _, first = self.subscribe()
         assert isinstance(first, Send) and isinstance(first.message, SnapshotPage)
         self.assertEqual((first.message.first, first.message.last), (True, False))
         self.assertEqual(self.change(CURRENT_CONFIG, b"1\n"), [])
         pages = []
         while self.sessions.sessions[1].phase is Phase.SNAPSHOT:
-            pages += self.sessions.flushed(1)
+            pages += self.sessions.handle_flushed(1)
         last, changes = pages[-2:]
         assert isinstance(last, Send) and isinstance(last.message, SnapshotPage)
         self.assertTrue(last.message.last)
@@ -289,11 +289,11 @@
 
     def test_a_slow_one_whose_changes_are_forgotten_begins_anew(self) -> None:
         put(self.store, f"{WORKER_OVERRIDES}big", b"x" * observer_sessions.PAGE_BYTES)
-        self.sessions.replaced(0.0)
+        self.sessions.replace_state(0.0)
         self.subscribe()
         for number in range(6):
             self.change("other", b"%d" % number)
-        self.sessions.flushed(1)
+        self.sessions.handle_flushed(1)
         self.assertIs(self.sessions.sessions[1].phase, Phase.QUEUED)
         (page,) = [e for e in self.sessions.tick(50.0, 0, 0.0) if isinstance(e, Send)]
         assert isinstance(page.message, SnapshotPage)
@@ -305,13 +305,13 @@
         (ping,) = [e for e in self.sessions.tick(1000.0, 2, 0.0) if isinstance(e, Send)]
         assert isinstance(ping.message, Ping)
         self.assertEqual(ping.message.revision, 2)
-        self.assertEqual(self.sessions.applied([event], 0.0), [Send([1], Changes(2, 3, [event]))])
+        self.assertEqual(self.sessions.apply_events([event], 0.0), [Send([1], Changes(2, 3, [event]))])
 
     def test_much_that_changed_goes_in_parts_cut_between_revisions(self) -> None:
         self.subscribe()
         big = b"x" * (observer_sessions.CHANGES_BYTES // 2 - 100)
         events = [put(self.store, f"{WORKER_OVERRIDES}w{n}", big) for n in range(5)]
-        sent = [e.message for e in self.sessions.applied(events, 0.0) if isinstance(e, Send)]
+        sent = [e.message for e in self.sessions.apply_events(events, 0.0) if isinstance(e, Send)]
         copy = subscribed(RESUMED, at=(1, 2))
         for message in sent:
             assert isinstance(message, Changes)
@@ -321,7 +321,7 @@
         one = self.store.apply(
             Command("", 0, Transaction([Put(f"{WORKER_OVERRIDES}w{n}", big) for n in range(3)]))
         ).revision
-        whole = self.sessions.applied(self.store.events_since(one), 0.0)  # one revision is never cut
+        whole = self.sessions.apply_events(self.store.events_since(one), 0.0)  # one revision is never cut
         assert isinstance(whole[0], Send) and isinstance(whole[0].message, Changes)
         self.assertEqual((len(whole), len(whole[0].message.events)), (1, 3))
 
@@ -331,7 +331,7 @@
         put(store, ORDER, b"a")
         for number in range(9):
             put(store, ORDER, b"%d" % number + b"x" * observer_sessions.PAGE_BYTES)
-        self.sessions.replaced(0.0)
+        self.sessions.replace_state(0.0)
         self.subscribe(1, (1, 1))
         self.assertIs(self.sessions.sessions[1].phase, Phase.QUEUED)
         (page,) = [e.message for e in self.sessions.tick(0.0, 0, 0.0) if isinstance(e, Send)]
@@ -342,13 +342,13 @@
 
     def test_one_that_leaves_is_forgotten(self) -> None:
         self.subscribe()
-        self.assertEqual(self.sessions.received(1, Leave(), 0.0), [])
+        self.assertEqual(self.sessions.handle_message(1, Leave(), 0.0), [])
         self.assertEqual(self.change(CURRENT_CONFIG), [])
 
     def test_a_digest_follows_each_change_and_is_told_now_and_then(self) -> None:
         self.subscribe()
         self.change(CURRENT_CONFIG, b"1\n")
-        self.sessions.applied([delete(self.store, ORDER)], 0.0)
+        self.sessions.apply_events([delete(self.store, ORDER)], 0.0)
         whole = DocumentDigest(d for d in self.store.documents.values() if d.name == CURRENT_CONFIG)
         self.assertEqual(self.sessions.digest.value, whole.value)
         told = []
@@ -356,21 +356,21 @@
             for effect in self.sessions.tick(second * 1000.0, 0, 0.0):
                 if isinstance(effect, Send) and isinstance(effect.message, Ping):
                     told.append(effect.message.digest)
-                    self.sessions.received(1, Pong(effect.message.number), second * 1000.0)
+                    self.sessions.handle_message(1, Pong(effect.message.number), second * 1000.0)
         self.assertEqual((len(told), [d for d in told if d]), (60, [whole.value, whole.value]))
 
 
 class TestAdmission(unittest.TestCase):
     def test_rate_burst_and_concurrency(self) -> None:
-        admission = SnapshotAdmission(0.0, per_second=10.0, burst=3.0, concurrent=5)
+        admission = SnapshotAdmission(0.0, per_second=10.0, burst=3.0, max_concurrent=5)
         for key in range(20):
-            admission.ask(key)
+            admission.enqueue(key)
         self.assertEqual(admission.admit(0.0), [0, 1, 2])
         self.assertEqual(admission.admit(99.0), [])
         self.assertEqual(admission.admit(100.0), [3])
         self.assertEqual(admission.admit(1000.0), [4])  # five are under way
-        admission.forget(0)
-        admission.forget(5)  # it has gone while it waited
+        admission.release(0)
+        admission.release(5)  # it has gone while it waited
         self.assertEqual(admission.admit(1000.0), [6])
 
 
@@ -440,30 +440,30 @@
             documents = [("m0", *first), ("m1", *second)]
             for order in (documents, documents[::-1]):
                 with self.subTest(what):
-                    folded = FoldedPresence()
+                    merged = MergedPresence()
                     for at, one, revision in order:
-                        folded.take(at, [one], revision)
-                    self.assertEqual(folded.observers["o"].member, member)
-                    folded.take(member, None, 30)
-                    self.assertNotEqual(folded.observers["o"].member, member)
+                        merged.set_entries(at, [one], revision)
+                    self.assertEqual(merged.observers["o"].member, member)
+                    merged.set_entries(member, None, 30)
+                    self.assertNotEqual(merged.observers["o"].member, member)
 
     def test_who_loses_its_connection_stays_for_the_lease(self) -> None:
         served = ServedObservers(lease=100.0)
         for name in ("a", "b", "c"):
-            served.connect(entry(name, "t", 1, 3))
+            served.add(entry(name, "t", 1, 3))
         self.assertEqual([e.name for e in served.entries()], ["a", "b", "c"])
-        served.lose("a", "t", 0.0)
-        served.lose("b", "other", 0.0)  # of an earlier process
+        served.mark_disconnected("a", "t", 0.0)
+        served.mark_disconnected("b", "other", 0.0)  # of an earlier process
         served.remove("c", "t")
-        served.expire(99.0)
+        served.remove_expired(99.0)
         self.assertEqual([(e.name, e.connected) for e in served.entries()], [("a", False), ("b", True)])
         self.assertFalse(served.changed)
-        served.expire(100.0)
+        served.remove_expired(100.0)
         self.assertTrue(served.changed)
         self.assertEqual([e.name for e in served.entries()], ["b"])
-        served.connect(entry("d", "t"))
+        served.add(entry("d", "t"))
         served.entries()
-        served.announce("d", "t", 5)
+        served.set_epoch("d", "t", 5)
         self.assertFalse(served.changed)  # its document says so already, by its revision
         self.assertEqual(served.entries()[1].epoch, 5)
 
@@ -484,11 +484,11 @@
 
     def join(self, key: int, token: str, session: int = 1, epoch: int = 0, name: str = "o") -> list[Effect]:
         asked = Subscribe(VERSION, "c1", name, token, session, epoch)
-        return self.registry.joined(key, asked, 0.0)
+        return self.registry.add_connection(key, asked, 0.0)
 
     def commit(self, member: str, revision: int, *entries: ObserverEntry) -> list[Effect]:
         value = presence.pack(list(entries))
-        return self.registry.applied([Event(revision, OBSERVERS + member, value)], 0.0)
+        return self.registry.apply_events([Event(revision, OBSERVERS + member, value)], 0.0)
 
     def test_a_process_that_began_later_takes_the_name(self) -> None:
         self.assertEqual(self.join(1, "old"), [])
@@ -504,7 +504,7 @@
         self.assertEqual(self.commit("m1", 8, entry("o", "new")), [])
         self.assertEqual(self.registry.tick(FENCE_AFTER_MS - 1), [Send([1], Fleet(1, 0))])
         self.assertEqual(self.registry.tick(FENCE_AFTER_MS), [Send([1], Fenced())])
-        (put,) = [p for p in self.registry.announcement(1, 0.0, True) if p.name == OBSERVERS + "m0"]
+        (put,) = [p for p in self.registry.build_announcement(1, 0.0, True) if p.name == OBSERVERS + "m0"]
         self.assertEqual(presence.read(put.value), [])
 
     def test_a_process_that_died_at_its_start_and_is_announced_late_fences_nobody(self) -> None:
@@ -515,8 +515,8 @@
         self.commit("m1", 9, msgspec.structs.replace(entry("o", "died", 1, 8), connected=False))
         self.assertEqual(self.registry.tick(FENCE_AFTER_MS + 1), [])
         self.join(2, "at once", name="p")
-        self.registry.left(2, 0.0, planned=False)
-        (put, _) = self.registry.announcement(1, 0.0, True)
+        self.registry.remove_connection(2, 0.0, planned=False)
+        (put, _) = self.registry.build_announcement(1, 0.0, True)
         self.assertEqual([e.name for e in presence.read(put.value)], ["o"])
 
     def test_a_change_of_member_fences_nobody(self) -> None:
@@ -524,64 +524,64 @@
         self.commit("m0", 5, entry("o", "t"))
         self.assertEqual(self.commit("m1", 6, entry("o", "t", 2, 5)), [])
         self.assertEqual(self.join(2, "t", 3, 5), [])
-        self.registry.left(1, 0.0, planned=False)  # the connection of before
-        (put, _) = self.registry.announcement(1, 0.0, True)
+        self.registry.remove_connection(1, 0.0, planned=False)  # the connection of before
+        (put, _) = self.registry.build_announcement(1, 0.0, True)
         self.assertEqual([(e.name, e.session) for e in presence.read(put.value)], [("o", 3)])
 
     def test_each_is_told_its_place_once(self) -> None:
         self.join(1, "t", name="o1")
         self.join(2, "t", name="o2")
-        self.registry.applied([Event(3, LIVE_MEMBERS + "m0", b"{}")], 0.0)
+        self.registry.apply_events([Event(3, LIVE_MEMBERS + "m0", b"{}")], 0.0)
         self.commit("m0", 5, entry("o1", "t"), entry("o2", "t"))
         self.assertEqual(self.registry.tick(0.0), [Send([1], Fleet(3, 1)), Send([2], Fleet(3, 2))])
         self.assertEqual(self.registry.tick(0.0), [])
-        self.registry.applied([Event(8, LIVE_MEMBERS + "m0", None)], 0.0)
+        self.registry.apply_events([Event(8, LIVE_MEMBERS + "m0", None)], 0.0)
         self.assertEqual(self.registry.tick(0.0), [Send([1], Fleet(2, 0)), Send([2], Fleet(2, 1))])
 
     def test_what_a_replaced_state_lacks_is_gone(self) -> None:
-        self.registry.applied(
+        self.registry.apply_events(
             [Event(2, LIVE_MEMBERS + "m1", b"{}"), Event(3, LIVE_MEMBERS + "m2", b"{}")], 0.0
         )
         self.commit("m1", 5, entry("o1", "t"))
-        self.registry.replaced([Event(3, LIVE_MEMBERS + "m2", b"{}")], 0.0)
-        self.assertEqual((self.registry.live.names(), self.registry.folded.observers), (["m2"], {}))
+        self.registry.replace_state([Event(3, LIVE_MEMBERS + "m2", b"{}")], 0.0)
+        self.assertEqual((self.registry.live.names(), self.registry.merged.observers), (["m2"], {}))
 
     def test_what_cannot_be_read_changes_nothing(self) -> None:
         self.commit("m1", 5, entry("o", "t"))
-        self.registry.applied([Event(6, OBSERVERS + "m1", b"\xc1")], 0.0)
+        self.registry.apply_events([Event(6, OBSERVERS + "m1", b"\xc1")], 0.0)
         self.assertEqual(self.registry.live.names(), ["o"])
         self.assertEqual([parse_config_version(v) for v in (b"12\n{}", b"x\n", b"", None)], [12, 0, 0, 0])
 
     def test_only_what_changed_is_put(self) -> None:
         self.join(1, "t")
-        names = [p.name for p in self.registry.announcement(1, 0.0, False)]
+        names = [p.name for p in self.registry.build_announcement(1, 0.0, False)]
         self.assertEqual(names, [OBSERVERS + "m0", IN_FORCE + "m0"])
-        self.assertEqual(self.registry.announcement(1, 0.0, False), [])
-        self.registry.reported(1, Report(3, 0, "none"), 0.0)
-        self.assertEqual([p.name for p in self.registry.announcement(1, 0.0, False)], [IN_FORCE + "m0"])
+        self.assertEqual(self.registry.build_announcement(1, 0.0, False), [])
+        self.registry.record_report(1, Report(3, 0, "none"), 0.0)
+        self.assertEqual([p.name for p in self.registry.build_announcement(1, 0.0, False)], [IN_FORCE + "m0"])
 
 
 class TestInForce(unittest.TestCase):
     def test_who_has_it_and_who_lags(self) -> None:
         counts = InForceCounts()
         for name in ("a", "b", "c"):
-            counts.connect(name, 0.0)
-            counts.report(name, Report(1, 0, "none"), 0.0)
+            counts.add_observer(name, 0.0)
+            counts.record_report(name, Report(1, 0, "none"), 0.0)
         self.assertEqual(counts.summary(0.0).in_force, 3)
-        counts.current(4, 1000.0)
-        counts.report("a", Report(2, 4, "in_force"), 1100.0)
-        counts.report("b", Report(2, 4, "restart_needed", "settings"), 1200.0)
+        counts.set_current_version(4, 1000.0)
+        counts.record_report("a", Report(2, 4, "in_force"), 1100.0)
+        counts.record_report("b", Report(2, 4, "restart_needed", "settings"), 1200.0)
         said = counts.summary(3000.0)
         self.assertEqual((said.version, said.observers, said.in_force, said.everywhere_ms), (4, 3, 1, -1))
         lagging = [(x.name, x.version, x.outcome, x.detail, x.behind_ms) for x in said.lagging]
         self.assertEqual(lagging, [("b", 4, "restart_needed", "settings", 2000), ("c", 0, "none", "", 2000)])
-        counts.report("b", Report(3, 4, "in_force"), 3500.0)
-        counts.report("c", Report(3, 4, "in_force"), 4000.0)
+        counts.record_report("b", Report(3, 4, "in_force"), 3500.0)
+        counts.record_report("c", Report(3, 4, "in_force"), 4000.0)
         said = counts.summary(9000.0)
         self.assertEqual((said.in_force, said.everywhere_ms, said.slowest), (3, 3000, "c"))
         self.assertEqual(in_force.read(in_force.pack(said)), said)
-        counts.current(5, 10_000.0)
-        counts.disconnect("c", 10_500.0)
+        counts.set_current_version(5, 10_000.0)
+        counts.remove_observer("c", 10_500.0)
         self.assertEqual((counts.summary(10_500.0).observers, counts.summary(10_500.0).in_force), (2, 0))
 
     def test_outcomes_have_the_words_of_the_protocol(self) -> None:
--- a/tests/test_observer_sim.py
+++ b/tests/test_observer_sim.py
@@ -12,7 +12,7 @@
 from eiderpin.store import observer_registry
 from eiderpin.store.observer_registry import ObserverRegistry
 from eiderpin.store.observer_server import ObserverServer
-from eiderpin.store.observer_sessions import Effect, Joined, ObserverSessions, Phase, Session, observed
+from eiderpin.store.observer_sessions import Effect, Joined, ObserverSessions, Phase, Session, is_observed
 from eiderpin.store.presence import ServedObservers
 from eiderpin.store.state import Compacted, Event
 from tests.observer_sim import play
@@ -34,9 +34,9 @@
 
 def gives_what_is_left(self: ObserverSessions, revision: int) -> list[Event]:
     try:
-        return [e for e in self.store().events_since(revision + 1) if observed(e.name)]
+        return [e for e in self.store().events_since(revision + 1) if is_observed(e.name)]
     except Compacted:
-        return [e for e in self.store().events_since(self.store().oldest) if observed(e.name)]
+        return [e for e in self.store().events_since(self.store().oldest) if is_observed(e.name)]
 
 
 def resumes_only_those_that_are_behind(self: ObserverSessions, generation: int, revision: int) -> bool:
@@ -47,9 +47,9 @@
 
 
 def serves_those_that_are_ahead(self: ObserverSessions, key: int, asked: Any, now: float) -> list[Effect]:
-    session = Session(asked, Phase.QUEUED, now, answered=self._ping)
+    session = Session(asked, Phase.QUEUED, now, last_answered_ping=self._ping_number)
     self.sessions[key] = session
-    return self._begin(key, session, now)
+    return self._start_serving(key, session, now)
 
 
 class TakesOlder(Subscription):
@@ -68,7 +68,7 @@
     return [*joined, *(e for e in effects if not isinstance(e, Joined))]
 
 
-BEGIN = ObserverSessions._begin
+BEGIN = ObserverSessions._start_serving
 
 
 def sends_pages_at_once(self: ObserverServer, key: int) -> None:
@@ -80,9 +80,9 @@
 
 
 def keeps_those_that_died(self: ServedObservers, name: str, token: str, now: float) -> None:
-    served = self._of(name, token)
+    served = self._find(name, token)
     if served is not None:
-        served.lost_at = now
+        served.disconnected_at = now
 
 
 def fences_nobody(self: ObserverRegistry, observer: Any) -> list[Effect]:
@@ -99,13 +99,13 @@
      [(ObserverSessions, "_subscribe", serves_those_that_are_ahead),
       (ObserverSessions, "_can_resume", resumes_only_those_that_are_behind)], TakesOlder),
     ("announced before it is accepted", 5,
-     [(ObserverSessions, "_begin", joins_before_it_is_accepted)], Subscription),
-    ("pages out of order", 31, [(ObserverServer, "_flushed", sends_pages_at_once)], Subscription),
+     [(ObserverSessions, "_start_serving", joins_before_it_is_accepted)], Subscription),
+    ("pages out of order", 31, [(ObserverServer, "_handle_flushed", sends_pages_at_once)], Subscription),
     ("an epoch that grows with each announcement", 37,
-     [(ServedObservers, "announce", never_learns_an_epoch)], Subscription),
+     [(ServedObservers, "set_epoch", never_learns_an_epoch)], Subscription),
     ("fenced by one that died", 97,
      [(observer_registry, "FENCE_AFTER_MS", 0.0),
-      (ServedObservers, "lose", keeps_those_that_died)], Subscription),
+      (ServedObservers, "mark_disconnected", keeps_those_that_died)], Subscription),
     ("nobody is fenced", 1, [(ObserverRegistry, "_fence", fences_nobody)], Subscription),
 ]  # fmt: skip
 
