--- a/tests/observer_sim.py
+++ b/tests/observer_sim.py
@@ -1,8 +1,10 @@
-"""Members of the store and observers in one process and in virtual time: the program's own server and client
-of observers on a simulated network, beside the simulated cluster of `store_sim`. All follows from one seed.
+"""Simulation of members of the store and observers, in one process and in virtual time.
 
-A truth is kept beside them: one store that applies the committed commands in order. At each change, an
-observer's copy is compared with it, document by document, at the copy's own revision.
+The program's own observer server and client run on a simulated network, together with the simulated cluster
+of `store_sim`. A run depends on its seed only.
+
+A reference store applies the committed commands in order. At each change of an observer's copy, the copy is
+compared with the reference at the copy's revision, document by document.
 """
 
 from __future__ import annotations
@@ -29,13 +31,13 @@
 from eiderpin.store.state import Answer, Delete, Event, Put, Store, Transaction, unpack
 from tests.store_sim import Broken, Trouble, World
 
-HISTORY = 20  # events that members keep: one that is away for a second or two is behind them
-WORKERS = 6  # that orders are given for
-BIG = 40_000  # bytes of some documents, so that a snapshot has pages
+HISTORY_EVENTS = 20  # kept by members; an observer without a connection for 1 to 2 s needs a snapshot
+WORKER_COUNT = 6  # workers that have overrides
+LARGE_DOCUMENT_BYTES = 40_000  # size of some documents, so that a snapshot has several pages
 
 
 class Process:
-    """A process that may be killed or stop for a while; nothing of it happens then."""
+    """A simulated process that may be killed or frozen. No callback of it runs meanwhile."""
 
     def __init__(self, world: ObserverWorld, name: str) -> None:
         self.world, self.name = world, name
@@ -43,51 +45,59 @@
         self.frozen_until = 0.0
         self.connections: list[SimConnection] = []
 
-    def later(self, ms: float, call: Callable[[], None]) -> None:
-        """Call after so long, if it still lives; once it is awake."""
-        self.world.after(ms, lambda: self.run(call))
+    def schedule(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Call back after this many ms if the process is alive then, or later when it is no longer frozen."""
+        self.world.after(delay_ms, lambda: self.run(callback))
 
-    def run(self, call: Callable[[], None]) -> None:
+    def run(self, callback: Callable[[], None]) -> None:
+        """Call back now, or when the process is no longer frozen; never if it was killed."""
         if not self.alive:
             return
         if self.world.now < self.frozen_until:
-            self.later(self.frozen_until - self.world.now + 0.1, call)
+            self.schedule(self.frozen_until - self.world.now + 0.1, callback)
             return
-        call()
+        callback()
 
-    def die(self) -> None:
+    def kill(self) -> None:
+        """Stop for good; the peers see the end of the connections."""
         self.alive = False
         for connection in list(self.connections):
             connection.closed = True
-            connection.send_end()
+            connection.send_eof()
 
 
 class SimDeadline:
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
+    """Stands in for `core.deadlines.Deadline`."""
+
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
 
 class SimDeadlines:
+    """The deadlines of one process, in virtual time."""
+
     def __init__(self, process: Process) -> None:
         self.process = process
 
-    def set(self, at: float, call: Callable[[], None]) -> SimDeadline:
-        deadline = SimDeadline(call)
+    def set(self, at: float, callback: Callable[[], None]) -> SimDeadline:
+        deadline = SimDeadline(callback)
 
         def run() -> None:
-            due, deadline.call = deadline.call, None
+            due, deadline.callback = deadline.callback, None
             if due is not None:
                 due()
 
-        self.process.later(max(0.0, at - self.process.world.now), run)
+        self.process.schedule(max(0.0, at - self.process.world.now), run)
         return deadline
 
     def drop(self, deadline: SimDeadline | None) -> None:
         if deadline is not None:
-            deadline.call = None
+            deadline.callback = None
 
 
 class SimClock:
+    """The virtual clock."""
+
     def __init__(self, world: ObserverWorld) -> None:
         self.world = world
 
@@ -96,7 +106,7 @@
 
 
 class SimLoop:
-    """What the server and the client of observers need of `net.loop.Loop`."""
+    """The part of `net.loop.Loop` that the server and the client of observers use."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
@@ -104,25 +114,25 @@
 
     def connect(self, address: tuple[str, int]) -> SimConnection:
         world = self.process.world
-        near = SimConnection(self.process)
-        near.remote = address[0]
-        world.after(world.latency(), lambda: world.arrive_connection(near))
-        return near
+        client_end = SimConnection(self.process)
+        client_end.remote = address[0]
+        world.after(world.latency(), lambda: world.deliver_connection(client_end))
+        return client_end
 
 
 class SimConnection:
-    """One end of a stream. What is sent arrives in order and whole, or the stream ends."""
+    """One end of a stream. Data arrives complete and in order until the stream ends."""
 
     def __init__(self, process: Process) -> None:
         self.process, self.world = process, process.world
-        self.world.numbers += 1
-        self.number = self.world.numbers
+        self.world.connection_count += 1
+        self.number = self.world.connection_count
         self.peer: SimConnection | None = None
         self.remote = ""
         self.closed = self.closing = False
         self.unsent = bytearray()
-        self.outbox: list[bytes | None] = []  # None: the end
-        self.inbox: list[bytes | None] = []  # in order, however long the process was stopped
+        self.outbox: list[bytes | None] = []  # None: end of the stream
+        self.inbox: list[bytes | None] = []  # keeps the order while the process is frozen
         self.on_open = self.on_end = self.on_flushed = self.on_closed = lambda: None
         self.on_data: Callable[[bytes], None] = lambda data: None
         process.connections.append(self)
@@ -131,30 +141,32 @@
         if self.closed or self.closing:
             return
         self.outbox.append(data)
-        self.world.after(self.world.latency(), self.pump)
+        self.world.after(self.world.latency(), self.transmit)
         self.on_flushed()
 
-    def pump(self) -> None:
-        """Let what was sent arrive, unless the network is cut; an end of ours arrives after all before it."""
+    def transmit(self) -> None:
+        """Transmit what was sent, unless the network is cut. The end of the stream comes after all data."""
         peer = self.peer
         if peer is None or not self.outbox:
             return
         if (self.process.name, peer.process.name) in self.world.cuts:
-            self.world.after(100.0, self.pump)
+            self.world.after(100.0, self.transmit)
             return
         peer.inbox += self.outbox
         self.outbox.clear()
-        peer.process.run(peer.arrive)
+        peer.process.run(peer.deliver)
 
-    def arrive(self) -> None:
+    def deliver(self) -> None:
+        """Handle what has arrived."""
         while self.inbox and not self.closed:
             data = self.inbox.pop(0)
             if data is None:
-                self.broke()
+                self.handle_reset()
             elif not self.closing:
                 self.on_data(data)
 
-    def broke(self) -> None:
+    def handle_reset(self) -> None:
+        """Close after the peer's end of the stream or a reset."""
         if not self.closed:
             self.close()
             self.on_end()
@@ -163,7 +175,7 @@
         if self.closed:
             return
         self.closed = True
-        self.send_end()
+        self.send_eof()
         if self in self.process.connections:
             self.process.connections.remove(self)
         self.on_closed()
@@ -171,19 +183,21 @@
     def close_when_sent(self) -> None:
         self.closing = True
         self.on_end = lambda: None
-        self.send_end()
-        self.process.later(2500.0, self.close)
+        self.send_eof()
+        self.process.schedule(2500.0, self.close)
 
-    def send_end(self) -> None:
+    def send_eof(self) -> None:
         self.outbox.append(None)
-        self.world.after(self.world.latency(), self.pump)
+        self.world.after(self.world.latency(), self.transmit)
 
 
 class SimListener:
-    """Stands in for `net.loop.Listener` in a member's server."""
+    """Stands in for `net.loop.Listener` in a member's observer server."""
 
-    def __init__(self, loop: SimLoop, where: tuple[str, int], taken: Callable[[SimConnection], None]) -> None:
-        self.process, self.taken = loop.process, taken
+    def __init__(
+        self, loop: SimLoop, address: tuple[str, int], on_accept: Callable[[SimConnection], None]
+    ) -> None:
+        self.process, self.on_accept = loop.process, on_accept
         loop.process.world.listeners[loop.process.name] = self
 
     def close(self) -> None:
@@ -191,13 +205,13 @@
 
 
 class Follower:
-    """An observer's process: its copy is compared with the truth whenever it changes. An `ObserverSink`."""
+    """An observer's process. Its copy is compared with the reference at each change. An `ObserverSink`."""
 
     def __init__(self, world: ObserverWorld, name: str, token: str) -> None:
         self.world, self.name = world, name
         self.process = Process(world, name)
-        self.highest = (0, 0)
-        self.place: tuple[int, int] | None = None
+        self.latest_position = (0, 0)
+        self.placement: tuple[int, int] | None = None
         self.copy = world.subscription("sim", name, token, f"r{len(name) % 2}")
         self.observer = Observer(
             SimLoop(self.process),  # type: ignore[arg-type]
@@ -207,13 +221,13 @@
         )  # fmt: skip
 
     def apply_events(self, events: list[Event]) -> None:
-        if self.copy.position < self.highest:
-            raise Broken(f"{self.name} goes back from {self.highest} to {self.copy.position}")
-        self.highest = self.copy.position
-        self.world.compare(self.name, self.copy)
+        if self.copy.position < self.latest_position:
+            raise Broken(f"{self.name} goes back from {self.latest_position} to {self.copy.position}")
+        self.latest_position = self.copy.position
+        self.world.check_copy(self.name, self.copy)
 
     def set_placement(self, instances: int, instance: int) -> None:
-        self.place = (instances, instance)
+        self.placement = (instances, instance)
 
     def handle_fenced(self) -> None:
         pass
@@ -224,24 +238,24 @@
 
 @dataclass
 class ObserverWorld(World):
-    """The simulated cluster, with observers."""
+    """The simulated cluster with observers."""
 
     observers: int = 5
     subscription: type[Subscription] = Subscription
     server: type[ObserverServer] = ObserverServer
     followers: dict[str, Follower] = field(default_factory=dict)
-    doomed: list[Follower] = field(default_factory=list)  # whose names others have taken
+    superseded: list[Follower] = field(default_factory=list)  # whose names later processes have taken
     processes: dict[str, Process] = field(default_factory=dict)
     listeners: dict[str, SimListener] = field(default_factory=dict)
     servers: dict[str, ObserverServer] = field(default_factory=dict)
-    numbers: int = 0
-    resets: float = 0.0  # chance that a cut ends with a reset
+    connection_count: int = 0
+    resets: float = 0.0  # probability that a cut ends with a reset
 
     def __post_init__(self) -> None:
         self.names = [f"m{i}" for i in range(self.size)]
-        self.truth = Store(1 << 30)
-        self.truth_index = 0
-        self.images: list[tuple[int, dict[str, tuple[bytes, int]]]] = [(0, {})]
+        self.reference = Store(1 << 30)
+        self.reference_index = 0
+        self.reference_images: list[tuple[int, dict[str, tuple[bytes, int]]]] = [(0, {})]
         self.tokens = 0
         super().__post_init__()
         for number in range(self.observers):
@@ -252,7 +266,7 @@
     def start(self, name: str) -> None:
         super().start(name)
         member = self._member(name)
-        member.history = member.store.history = HISTORY
+        member.history = member.store.history = HISTORY_EVENTS
         process = self.processes[name] = Process(self, name)
         with mock.patch.object(observer_server, "Listener", SimListener):
             self.servers[name] = self.server(
@@ -262,10 +276,10 @@
     def kill(self, name: str) -> None:
         super().kill(name)
         self.listeners.pop(name, None)
-        self.processes[name].die()
+        self.processes[name].kill()
 
     def follow(self, name: str) -> Follower:
-        """A new process by this name; an earlier one may still be there."""
+        """Start a new process with this name; an earlier one may still run."""
         self.tokens += 1
         self.followers[name] = Follower(self, name, f"token{self.tokens}")
         return self.followers[name]
@@ -273,96 +287,98 @@
     # -- the network
 
     def latency(self) -> float:
+        """Draw the latency of a message, in ms."""
         return self.rng.uniform(0.3, 5.0)
 
-    def arrive_connection(self, near: SimConnection) -> None:
-        """A connection reaches its listener, is refused, or waits for the end of a cut."""
-        listener = self.listeners.get(near.remote)
-        if near.closed or not near.process.alive:
+    def deliver_connection(self, client_end: SimConnection) -> None:
+        """Let a connection reach its listener, be refused, or wait until the network is no longer cut."""
+        listener = self.listeners.get(client_end.remote)
+        if client_end.closed or not client_end.process.alive:
             return
-        if (near.process.name, near.remote) in self.cuts:
-            self.after(100.0, lambda: self.arrive_connection(near))
+        if (client_end.process.name, client_end.remote) in self.cuts:
+            self.after(100.0, lambda: self.deliver_connection(client_end))
             return
         if listener is None:
-            near.process.run(near.broke)
+            client_end.process.run(client_end.handle_reset)
             return
-        far = SimConnection(listener.process)
-        near.peer, far.peer = far, near
-        near.process.run(near.on_open)
+        server_end = SimConnection(listener.process)
+        client_end.peer, server_end.peer = server_end, client_end
+        client_end.process.run(client_end.on_open)
         process = listener.process
         node = self.nodes[process.name]
         process.frozen_until = max(process.frozen_until, node.frozen_until)
-        process.run(lambda: listener.taken(far))
+        process.run(lambda: listener.on_accept(server_end))
 
-    def reset_some(self) -> None:
-        """Some connections of observers are reset."""
+    def reset_connections(self) -> None:
+        """Reset about half of the observers' connections."""
         for follower in self.followers.values():
             for connection in list(follower.process.connections):
                 if self.rng.random() < 0.5:
-                    connection.process.run(connection.broke)
+                    connection.process.run(connection.handle_reset)
 
-    # -- the truth
+    # -- the reference
 
     def saw_applied(self, name: str, index: int, term: int, data: bytes) -> None:
         super().saw_applied(name, index, term, data)
-        while self.truth_index + 1 in self.applied:
-            self.truth_index += 1
+        while self.reference_index + 1 in self.applied:
+            self.reference_index += 1
             try:
-                command = unpack(self.applied[self.truth_index][1])
+                command = unpack(self.applied[self.reference_index][1])
             except msgspec.MsgspecError:
-                continue  # no command, but a change of members or a leader's first entry
-            before = self.truth.revision
-            self.truth.apply(command)
-            if self.truth.revision != before:
-                self.images.append((self.truth.revision, self.image()))
-
-    def image(self) -> dict[str, tuple[bytes, int]]:
+                continue  # a change of members or a leader's first entry
+            before = self.reference.revision
+            self.reference.apply(command)
+            if self.reference.revision != before:
+                self.reference_images.append((self.reference.revision, self.reference_image()))
+
+    def reference_image(self) -> dict[str, tuple[bytes, int]]:
+        """Return value and revision of all observed documents of the reference, by name."""
         found = {}
-        for document in self.truth.documents.values():
+        for document in self.reference.documents.values():
             if is_observed(document.name):
                 found[document.name] = (document.value, document.revision)
         return found
 
-    def compare(self, name: str, copy: Subscription) -> None:
-        """An observer's copy is the truth at its own revision."""
-        if copy.revision > self.truth.revision:
-            raise Broken(f"{name} is at revision {copy.revision}; {self.truth.revision} is the last")
-        wanted: dict[str, tuple[bytes, int]] = {}
-        for revision, image in reversed(self.images):
+    def check_copy(self, name: str, copy: Subscription) -> None:
+        """Check that an observer's copy equals the reference at the copy's revision. Raises `Broken`."""
+        if copy.revision > self.reference.revision:
+            raise Broken(f"{name} is at revision {copy.revision}; {self.reference.revision} is the last")
+        expected: dict[str, tuple[bytes, int]] = {}
+        for revision, image in reversed(self.reference_images):
             if revision <= copy.revision:
-                wanted = image
+                expected = image
                 break
-        held = {d.name: (d.value, d.revision) for d in copy.documents.values()}
-        if held != wanted:
-            differs = sorted(n for n in held.keys() | wanted.keys() if held.get(n) != wanted.get(n))
+        actual = {d.name: (d.value, d.revision) for d in copy.documents.values()}
+        if actual != expected:
+            differs = sorted(n for n in actual.keys() | expected.keys() if actual.get(n) != expected.get(n))
             raise Broken(f"{name} at revision {copy.revision} differs in {', '.join(differs)}")
 
-    # -- the end
+    # -- the end of a run
 
-    def come_together(self) -> None:
-        """All observers have all of it, and everybody knows just those that are live."""
+    def check_convergence(self) -> None:
+        """Check that all observers are up to date and that all agree on who is live. Raises `Broken`."""
         for process in self.processes.values():
             process.frozen_until = 0.0
         self.run(self.now + 25_000.0)
-        for _ in range(20):  # one may be about to return to its first choice just now
+        for _ in range(20):  # an observer may just be returning to its preferred member
             if all(f.observer.subscribed for f in self.followers.values()):
                 break
             self.run(self.now + 100.0)
         for name, follower in self.followers.items():
-            self.compare(name, follower.copy)
-            last = self.images[-1]
-            newest = next(r for r, image in self.images if image == last[1])
+            self.check_copy(name, follower.copy)
+            last = self.reference_images[-1]
+            newest = next(r for r, image in self.reference_images if image == last[1])
             if follower.copy.revision < newest or not follower.observer.subscribed:
                 raise Broken(f"{name} is at {follower.copy.revision}; {newest} is the last change")
             if follower.observer.presence_state is not PresenceState.KNOWN:
                 raise Broken(f"{name} is {follower.observer.presence_state.value}")
-        for follower in self.doomed:
+        for follower in self.superseded:
             if follower.process.alive and follower.observer.presence_state is not PresenceState.FENCED:
                 raise Broken(f"the earlier {follower.name} is {follower.observer.presence_state.value}")
         ranked = sorted(self.followers)
-        for place, name in enumerate(ranked):
-            if self.followers[name].place != (len(ranked), place):
-                raise Broken(f"{name} believes it is {self.followers[name].place} of {ranked}")
+        for position, name in enumerate(ranked):
+            if self.followers[name].placement != (len(ranked), position):
+                raise Broken(f"{name} believes it is {self.followers[name].placement} of {ranked}")
         for member in self.live():
             merged = self.servers[member].registry.merged.observers
             tokens = {name: live.entry.token for name, live in merged.items()}
@@ -371,25 +387,26 @@
 
 
 class Writer:
-    """Changes what observers follow, at whichever member takes it."""
+    """Changes documents that observers follow, through random members."""
 
-    def __init__(self, world: ObserverWorld, gap: tuple[float, float]) -> None:
-        self.world, self.gap = world, gap
+    def __init__(self, world: ObserverWorld, interval_ms: tuple[float, float]) -> None:
+        self.world, self.interval_ms = world, interval_ms
         self.version = 0
         self.over = False
-        self.next()
+        self.schedule_next()
 
-    def next(self) -> None:
+    def schedule_next(self) -> None:
         if not self.over:
-            self.world.after(self.world.rng.uniform(*self.gap), self.write)
+            self.world.after(self.world.rng.uniform(*self.interval_ms), self.write)
 
     def write(self) -> None:
+        """Submit one random change."""
         rng, world = self.world.rng, self.world
         live = world.live()
         if live:
             self.version += 1
-            name = f"{WORKER_OVERRIDES}w{rng.randrange(WORKERS)}"
-            value = b"%d" % self.version + b"x" * (BIG if rng.random() < 0.2 else 0)
+            name = f"{WORKER_OVERRIDES}w{rng.randrange(WORKER_COUNT)}"
+            value = b"%d" % self.version + b"x" * (LARGE_DOCUMENT_BYTES if rng.random() < 0.2 else 0)
             change: Put | Delete = Put(name, value) if rng.random() < 0.8 else Delete(name)
             if rng.random() < 0.3:
                 change = Put(CURRENT_CONFIG, b"%d\n{}" % self.version)
@@ -397,26 +414,27 @@
                 change = Put(f"other{rng.randrange(3)}", b"%d" % self.version)
             member = world._member(rng.choice(live))
             member.submit("", rng.getrandbits(50), Transaction([change]), _ignore, world.now, 300.0)
-        self.next()
+        self.schedule_next()
 
 
 def _ignore(answer: Answer | Exception) -> None:
-    """Whether it was taken shows in the truth."""
+    """Ignore the answer: the reference shows whether the change was committed."""
 
 
 class ObserverTrouble:
-    """Cuts, resets, frozen and killed observers, two by one name."""
+    """Injects faults: cuts, resets, frozen and killed observers, two observers with one name."""
 
     def __init__(self, world: ObserverWorld) -> None:
         self.world = world
         self.over = False
-        self.next()
+        self.schedule_next()
 
-    def next(self) -> None:
+    def schedule_next(self) -> None:
         if not self.over:
-            self.world.after(self.world.rng.uniform(200.0, 900.0), self.strike)
+            self.world.after(self.world.rng.uniform(200.0, 900.0), self.inject_fault)
 
-    def strike(self) -> None:
+    def inject_fault(self) -> None:
+        """Inject one random fault."""
         if self.over:
             return
         rng, world = self.world.rng, self.world
@@ -428,50 +446,51 @@
             world.cuts |= set(pairs)
             world.after(rng.uniform(100.0, 5000.0), lambda: world.cuts.difference_update(pairs))
         elif kind == "reset":
-            world.reset_some()
+            world.reset_connections()
         elif kind == "freeze":
             world.followers[name].process.frozen_until = world.now + rng.uniform(500.0, 9000.0)
         elif kind == "kill":
-            world.followers[name].process.die()
+            world.followers[name].process.kill()
             world.follow(name)
-        elif not world.doomed:
-            self.twin(name)
-        self.next()
+        elif not world.superseded:
+            self.start_duplicate(name)
+        self.schedule_next()
+
+    def start_duplicate(self, name: str) -> None:
+        """Freeze a process, start another with its name, then let the first one continue.
 
-    def twin(self, name: str) -> None:
-        """A process is frozen, and another begins by its name; then the first one wakes. It is only looked
-        at if it was known to all, for one that was never announced may come to be the later one."""
+        This is done only if the first one was announced, otherwise it might become the later one."""
         world = self.world
         old = world.followers[name]
         if old.observer.presence_state is not PresenceState.KNOWN or world.now < old.process.frozen_until:
             return
         old.process.frozen_until = world.now + 4000.0
-        world.doomed.append(old)
+        world.superseded.append(old)
         world.after(500.0, lambda: world.follow(name) if old is world.followers[name] else None)
 
 
-def play(
+def run_simulation(
     seed: int,
-    ms: float = 9000.0,
+    duration_ms: float = 9000.0,
     observers: int = 5,
     subscription: type[Subscription] = Subscription,
     server: type[ObserverServer] = ObserverServer,
 ) -> ObserverWorld:
-    """One run. Raises `Broken` where a promise did not hold."""
+    """Run one simulation of `duration_ms`. Raises `Broken` if a guarantee does not hold."""
     world = ObserverWorld(seed, observers=observers, subscription=subscription, server=server)
     troubles: list[Any] = [ObserverTrouble(world), Trouble(world, False)]
     writer = Writer(world, (10.0, 200.0))
     for step in range(1, 7):
-        world.run(ms * step / 6)
+        world.run(duration_ms * step / 6)
         for name in world.live():
             if world._member(name).raft.role is Role.LEADER:
                 world.look(name)
     for trouble in (*troubles, writer):
         trouble.over = True
     world.settle()
-    world.come_together()
+    world.check_convergence()
     return world
 
 
-_LOOP: type[Loop] = Loop  # what `SimLoop` stands in for, and `SimConnection`:
+_LOOP: type[Loop] = Loop  # `SimLoop` and `SimConnection` stand in for these
 _CONNECTION: type[Connection] = Connection
--- a/tests/test_observer_sim.py
+++ b/tests/test_observer_sim.py
@@ -1,4 +1,4 @@
-"""The seeded simulation of observers: clean runs, and planted faults that it finds."""
+"""The seeded simulation of observers: runs of the program as it is, and with faults that must be found."""
 
 from __future__ import annotations
 
@@ -15,71 +15,73 @@
 from eiderpin.store.observer_sessions import Effect, Joined, ObserverSessions, Phase, Session, is_observed
 from eiderpin.store.presence import ServedObservers
 from eiderpin.store.state import Compacted, Event
-from tests.observer_sim import play
+from tests.observer_sim import run_simulation
 from tests.store_sim import Broken
 
 SEEDS = range(40)
 
 
-def forgets_changes_during_a_snapshot(
+def drops_changes_during_a_snapshot(
     self: ObserverSessions, key: int, session: Session, revision: int
 ) -> list[Effect]:
     session.phase = Phase.CURRENT
     return []
 
 
-def resumes_over_what_is_forgotten(self: ObserverSessions, generation: int, revision: int) -> bool:
+def resumes_without_kept_events(self: ObserverSessions, generation: int, revision: int) -> bool:
     return generation == self.generation() and revision > 0
 
 
-def gives_what_is_left(self: ObserverSessions, revision: int) -> list[Event]:
+def returns_only_kept_events(self: ObserverSessions, revision: int) -> list[Event]:
     try:
         return [e for e in self.store().events_since(revision + 1) if is_observed(e.name)]
     except Compacted:
         return [e for e in self.store().events_since(self.store().oldest) if is_observed(e.name)]
 
 
-def resumes_only_those_that_are_behind(self: ObserverSessions, generation: int, revision: int) -> bool:
-    return CAN_RESUME(self, generation, revision) and revision <= self.store().revision
+def resumes_only_if_not_ahead(self: ObserverSessions, generation: int, revision: int) -> bool:
+    return ORIGINAL_CAN_RESUME(self, generation, revision) and revision <= self.store().revision
 
 
-CAN_RESUME = ObserverSessions._can_resume
+ORIGINAL_CAN_RESUME = ObserverSessions._can_resume
 
 
-def serves_those_that_are_ahead(self: ObserverSessions, key: int, asked: Any, now: float) -> list[Effect]:
-    session = Session(asked, Phase.QUEUED, now, last_answered_ping=self._ping_number)
+def serves_observers_that_are_ahead(
+    self: ObserverSessions, key: int, subscribe: Any, now: float
+) -> list[Effect]:
+    session = Session(subscribe, Phase.QUEUED, now, last_answered_ping=self._ping_number)
     self.sessions[key] = session
     return self._start_serving(key, session, now)
 
 
-class TakesOlder(Subscription):
-    """Takes whatever snapshot it is given."""
+class AcceptsOlderSnapshots(Subscription):
+    """A faulty copy that accepts snapshots older than its own state."""
 
     @property
     def position(self) -> tuple[int, int]:
         return (self.generation, self.revision) if self._pages is None else (0, 0)
 
 
-def joins_before_it_is_accepted(
+def joins_before_the_acceptance(
     self: ObserverSessions, key: int, session: Session, now: float
 ) -> list[Effect]:
-    effects = BEGIN(self, key, session, now)
+    effects = ORIGINAL_START_SERVING(self, key, session, now)
     joined = [e for e in effects if isinstance(e, Joined)]
     return [*joined, *(e for e in effects if not isinstance(e, Joined))]
 
 
-BEGIN = ObserverSessions._start_serving
+ORIGINAL_START_SERVING = ObserverSessions._start_serving
 
 
 def sends_pages_at_once(self: ObserverServer, key: int) -> None:
     self._send_next_page(key)
 
 
-def never_learns_an_epoch(self: ServedObservers, name: str, token: str, epoch: int) -> None:
+def never_records_an_epoch(self: ServedObservers, name: str, token: str, epoch: int) -> None:
     pass
 
 
-def keeps_those_that_died(self: ServedObservers, name: str, token: str, now: float) -> None:
+def keeps_disconnected_observers(self: ServedObservers, name: str, token: str, now: float) -> None:
     served = self._find(name, token)
     if served is not None:
         served.disconnected_at = now
@@ -91,50 +93,58 @@
 
 FAULTS: list[tuple[str, int, list[tuple[Any, str, Any]], type[Subscription]]] = [
     ("changes during a snapshot are forgotten", 0,
-     [(ObserverSessions, "_make_current", forgets_changes_during_a_snapshot)], Subscription),
-    ("a resumption over changes that are forgotten", 2,
-     [(ObserverSessions, "_can_resume", resumes_over_what_is_forgotten),
-      (ObserverSessions, "_events_after", gives_what_is_left)], Subscription),
-    ("an older state, where neither side looks", 0,
-     [(ObserverSessions, "_subscribe", serves_those_that_are_ahead),
-      (ObserverSessions, "_can_resume", resumes_only_those_that_are_behind)], TakesOlder),
-    ("announced before it is accepted", 5,
-     [(ObserverSessions, "_start_serving", joins_before_it_is_accepted)], Subscription),
+     [(ObserverSessions, "_make_current", drops_changes_during_a_snapshot)], Subscription),
+    ("a resumption without all changes since", 2,
+     [(ObserverSessions, "_can_resume", resumes_without_kept_events),
+      (ObserverSessions, "_events_after", returns_only_kept_events)], Subscription),
+    ("an older state that neither side checks", 0,
+     [(ObserverSessions, "_subscribe", serves_observers_that_are_ahead),
+      (ObserverSessions, "_can_resume", resumes_only_if_not_ahead)], AcceptsOlderSnapshots),
+    ("announced before the acceptance", 5,
+     [(ObserverSessions, "_start_serving", joins_before_the_acceptance)], Subscription),
     ("pages out of order", 31, [(ObserverServer, "_handle_flushed", sends_pages_at_once)], Subscription),
     ("an epoch that grows with each announcement", 37,
-     [(ServedObservers, "set_epoch", never_learns_an_epoch)], Subscription),
-    ("fenced by one that died", 97,
+     [(ServedObservers, "set_epoch", never_records_an_epoch)], Subscription),
+    ("fenced by a process that died", 97,
      [(observer_registry, "FENCE_AFTER_MS", 0.0),
-      (ServedObservers, "mark_disconnected", keeps_those_that_died)], Subscription),
+      (ServedObservers, "mark_disconnected", keeps_disconnected_observers)], Subscription),
     ("nobody is fenced", 1, [(ObserverRegistry, "_fence", fences_nobody)], Subscription),
 ]  # fmt: skip
 
 
-def planted(patches: list[tuple[Any, str, Any]], call: Callable[[], object]) -> None:
-    """Call with some of the program replaced."""
+def run_with_patches(patches: list[tuple[Any, str, Any]], callback: Callable[[], object]) -> None:
+    """Call back while parts of the program are replaced."""
     with ExitStack() as stack:
-        for where, name, replacement in patches:
-            stack.enter_context(mock.patch.object(where, name, replacement))
-        call()
+        for target, name, replacement in patches:
+            stack.enter_context(mock.patch.object(target, name, replacement))
+        callback()
 
 
-class ObserverSimulation(unittest.TestCase):
-    def test_promises_hold_under_faults(self) -> None:
+class TestObserverSimulation(unittest.TestCase):
+    def test_guarantees_hold_under_faults(self) -> None:
+        """Guards against observers that miss changes, go back to an older state or disagree on who is live,
+        after cuts, resets, frozen and killed processes."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                play(seed)
+                run_simulation(seed)
 
-    def test_a_seed_replays_to_the_same_end(self) -> None:
-        first, second = play(3), play(3)
+    def test_a_seed_always_gives_the_same_run(self) -> None:
+        """Guards against sources of chance other than the seed: a failure could not be reproduced."""
+        first, second = run_simulation(3), run_simulation(3)
         self.assertEqual(first.events, second.events)
-        self.assertEqual(first.images, second.images)
+        self.assertEqual(first.reference_images, second.reference_images)
 
     def test_planted_faults_are_found(self) -> None:
+        """Guards against a simulation that no longer finds faults. Each fault is planted with a seed that
+        finds it."""
         for what, seed, patches, subscription in FAULTS:
             with self.subTest(what):
-                play(seed)  # the seed itself is clean
+                run_simulation(seed)  # without the fault, the seed passes
                 with self.assertRaises((Broken, AssertionError, KeyError)):
-                    planted(patches, lambda seed=seed, kind=subscription: play(seed, subscription=kind))  # type: ignore[misc]
+                    run_with_patches(
+                        patches,
+                        lambda seed=seed, kind=subscription: run_simulation(seed, subscription=kind),  # type: ignore[misc]
+                    )
 
 
 if __name__ == "__main__":
--- a/tests/test_store_state.py
+++ b/tests/test_store_state.py
@@ -1,4 +1,4 @@
-"""The store's documents: tables of commands, and the state machine against a plain model."""
+"""The state machine of the store: tables of commands, and a comparison with a plain dictionary."""
 
 from __future__ import annotations
 
@@ -34,30 +34,36 @@
 
 
 def do(store: Store, op: Operation, client: str = "", number: int = 0) -> Answer:
+    """Apply a command as it comes out of the log."""
     return store.apply(unpack(pack(Command(client, number, op))))
 
 
 def put(store: Store, name: str, value: bytes, revision: int | None = None, lease: int = 0) -> Answer:
+    """Put one document, with an optional comparison of its revision."""
     compares = [] if revision is None else [Compare(name, revision)]
     return do(store, Transaction([Put(name, value, lease)], compares))
 
 
-class Documents(unittest.TestCase):
-    def test_compare_and_set_over_several_names(self) -> None:
+class TestStateMachine(unittest.TestCase):
+    def test_a_transaction_applies_only_if_all_comparisons_hold(self) -> None:
+        """Guards against transactions that are applied in part, or although one of their comparisons
+        fails."""
         store = Store()
-        one = put(store, "a", b"1", 0)
-        self.assertEqual((one.ok, one.revision), (True, 1))
-        both = [Put("a", b"2"), Put("b", b"2")]
+        created = put(store, "a", b"1", 0)
+        self.assertEqual((created.ok, created.revision), (True, 1))
+        changes = [Put("a", b"2"), Put("b", b"2")]
         for compares, ok in (
             ([Compare("a", 0)], False), ([Compare("a", 1), Compare("b", 1)], False),
             ([Compare("a", 1), Compare("b", 0)], True), ([Compare("a", 1)], False),
         ):  # fmt: skip
-            self.assertEqual(do(store, Transaction(both, compares)).ok, ok)
+            self.assertEqual(do(store, Transaction(changes, compares)).ok, ok)
         rows = [(d.name, d.revision, d.created) for d in store.range("")]
         self.assertEqual(rows, [("a", 2, 1), ("b", 2, 2)])
-        self.assertEqual(do(store, Transaction([Delete("none")])).revision, 2)  # nothing has changed
+        self.assertEqual(do(store, Transaction([Delete("none")])).revision, 2)  # nothing was deleted
 
-    def test_what_is_refused_changes_nothing(self) -> None:
+    def test_a_rejected_command_changes_nothing(self) -> None:
+        """Guards against commands that fail halfway and leave a part of their changes, which would go on in
+        all copies of the state."""
         store = Store()
         put(store, "a", b"1")
         before = store.image()
@@ -76,7 +82,8 @@
             self.assertFalse(answer.ok)
         self.assertEqual(store.image(), before)
 
-    def test_a_full_store_takes_what_makes_it_smaller(self) -> None:
+    def test_a_full_store_accepts_changes_that_shrink_it(self) -> None:
+        """Guards against a full store that cannot be cleaned up because every change is rejected."""
         with mock.patch.object(state, "MAX_STORE_BYTES", 1000), mock.patch.object(state, "MAX_DOCUMENTS", 3):
             store = Store()
             put(store, "a", b"x" * 900)
@@ -86,41 +93,47 @@
             self.assertIn("3 documents", put(store, "d", b"").error)
             self.assertEqual(do(store, Transaction([Delete("a"), Put("d", b"")])).error, "")
 
-    def test_leases_in_the_stores_own_time(self) -> None:
+    def test_leases_expire_by_the_logical_time_of_the_store(self) -> None:
+        """Leases expire by `Expire` commands only. Guards against documents that outlive their lease, that
+        are deleted with a lease they have left, and against time that goes back with a late command."""
         store = Store()
         one, other = do(store, Grant(2000.0)).lease, do(store, Grant(5000.0)).lease
         put(store, "a", b"", lease=one), put(store, "b", b"", lease=other), put(store, "c", b"", lease=one)
-        put(store, "c", b"kept")  # taken out of it
+        put(store, "c", b"kept")  # put again without the lease
         do(store, Expire(1500.0)), do(store, Keep(one)), do(store, Expire(3000.0))
         self.assertEqual(len(store.documents), 3)
         do(store, Expire(3500.0))
         self.assertEqual(sorted(store.documents), ["b", "c"])
-        do(store, Expire(100.0))  # of a leader whose word came late
+        do(store, Expire(100.0))  # a late command of an earlier leader
         self.assertEqual(store.now, 3500.0)
         do(store, Revoke(other))
         self.assertEqual(sorted(store.documents), ["c"])
         self.assertEqual([e.value for e in store.events_since(1, "b")], [b"", None])
 
-    def test_a_numbered_command_is_carried_out_once(self) -> None:
+    def test_a_repeated_numbered_command_is_applied_once(self) -> None:
+        """A client repeats a command if it gets no answer. Guards against applying it twice, against
+        accepting an older number, and against sessions without a limit."""
         store = Store()
-        raise_it = Transaction([Put("n", b"x")], [Compare("n", 0)])
-        self.assertIn("not known", do(store, raise_it, "c", 1).error)
+        create_once = Transaction([Put("n", b"x")], [Compare("n", 0)])
+        self.assertIn("not known", do(store, create_once, "c", 1).error)
         do(store, Open("c"), "c", 0)
-        first = do(store, raise_it, "c", 1)
-        self.assertEqual(do(store, raise_it, "c", 1), first)
+        first = do(store, create_once, "c", 1)
+        self.assertEqual(do(store, create_once, "c", 1), first)
         self.assertTrue(first.ok)
-        self.assertFalse(do(store, raise_it, "c", 2).ok)
-        self.assertIn("came before", do(store, raise_it, "c", 1).error)
-        do(store, Open("c"), "c", 0)  # asked for again: its numbers go on
-        self.assertIn("came before", do(store, raise_it, "c", 1).error)
+        self.assertFalse(do(store, create_once, "c", 2).ok)
+        self.assertIn("came before", do(store, create_once, "c", 1).error)
+        do(store, Open("c"), "c", 0)  # opened again: its numbers continue
+        self.assertIn("came before", do(store, create_once, "c", 1).error)
         do(store, Close("c"))
-        self.assertIn("not known", do(store, raise_it, "c", 3).error)
+        self.assertIn("not known", do(store, create_once, "c", 3).error)
         with mock.patch.object(state, "MAX_SESSIONS", 2):
             for name in ("d", "e", "f"):
                 do(store, Open(name), name, 0)
         self.assertEqual(list(store.sessions), ["e", "f"])
 
-    def test_the_history_forgets_whole_revisions(self) -> None:
+    def test_history_is_trimmed_by_whole_revisions(self) -> None:
+        """Guards against a revision of which only a part is kept: a watch that resumes there would miss the
+        rest."""
         store = Store(history=4)
         for i in range(3):
             do(store, Transaction([Put("a", b"%d" % i), Put("b", b"%d" % i)]))
@@ -192,7 +205,8 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x93", b"\x93\xa0\x00\x92\x63\x00"])
-def test_bytes_that_make_no_sense(data: bytes) -> None:
+def test_malformed_commands_are_rejected(data: bytes) -> None:
+    """Bytes of the log that are not a command raise `ValueError` and nothing else."""
     with pytest.raises(ValueError):
         unpack(data)
 
