--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -20,7 +20,7 @@
 from eiderpin.parts.store import NAME_PATTERN, parse_address
 from eiderpin.store import state
 from eiderpin.store.host import StoreHost
-from eiderpin.store.member import Unavailable, Watch
+from eiderpin.store.member import OutcomeUnknown, Watch
 from eiderpin.store.raft import NotLeader, Refused
 from eiderpin.store.state import (
     Answer,
@@ -179,7 +179,7 @@
         member = self.host.member
         prefix, after = text_field(fields, "prefix", ""), number_field(fields, "after", member.store.revision)
         watch: Watch | None = None
-        generation = member.born.generation
+        generation = member.identity.generation
         if number_field(fields, "generation", generation) != generation:
             reply_error(caller, "compacted", f"the store has begun anew: its generation is {generation}")
             return
@@ -210,7 +210,7 @@
 
         def reply() -> None:
             image = self.host.member.store.image()
-            header = {"ok": True, "bytes": len(image), "generation": self.host.member.born.generation}
+            header = {"ok": True, "bytes": len(image), "generation": self.host.member.identity.generation}
             caller.write_line(orjson.dumps(header).decode())
             for start in range(0, len(image), MAX_LINE_PAYLOAD_BYTES):
                 caller.write_line(base64.b64encode(image[start : start + MAX_LINE_PAYLOAD_BYTES]).decode())
@@ -294,7 +294,7 @@
                 )
 
         now = self.loop.clock.now()
-        self.host.member.order(fields["op"], name, address, done, now, self.timeout_ms(fields))
+        self.host.member.change_membership(fields["op"], name, address, done, now, self.timeout_ms(fields))
 
 
 # -- replies and fields in JSON
@@ -317,7 +317,7 @@
         reply_error(caller, "no-leader", f"{error}: nothing has been changed")
     elif isinstance(error, Compacted):
         reply_error(caller, "compacted", str(error))
-    elif isinstance(error, Unavailable):
+    elif isinstance(error, OutcomeUnknown):
         reply_error(caller, "unknown", str(error))
     else:
         reply_error(caller, "refused", str(error))
--- a/eiderpin/store/observer_server.py
+++ b/eiderpin/store/observer_server.py
@@ -15,7 +15,7 @@
 from eiderpin.core.deadlines import Deadline
 from eiderpin.net.loop import Connection, Listener, Loop
 from eiderpin.parts.store import DEFAULT_MAX_OBSERVERS
-from eiderpin.store.framing import Frames, frame
+from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.member import Member, Watch
 from eiderpin.store.names import OBSERVERS
 from eiderpin.store.observer_protocol import (
@@ -49,7 +49,7 @@
     """A connection with its frame decoder and the deadline for its `Subscribe`."""
 
     connection: Connection
-    frames: Frames
+    frames: FrameDecoder
     subscribe_deadline: Deadline | None
     subscribed: bool = False
 
@@ -79,11 +79,16 @@
         """Start to listen and to announce observers."""
         self.loop, self.counters, self.member = loop, counters, member
         now = loop.clock.now()
-        born = member.born
+        identity = member.identity
         self.sessions = ObserverSessions(
-            born.cluster, lambda: member.born.generation, born.name, lambda: member.store, now, max_observers
+            identity.cluster,
+            lambda: member.identity.generation,
+            identity.name,
+            lambda: member.store,
+            now,
+            max_observers,
         )
-        self.registry = ObserverRegistry(born.name)
+        self.registry = ObserverRegistry(identity.name)
         self._peers: dict[int, _ObserverConnection] = {}
         self.bytes_sent = self.bytes_received = 0  # of all observers so far
         self._lease = 0
@@ -126,7 +131,7 @@
             self.loop.clock.now() + SUBSCRIBE_TIMEOUT_MS, lambda: self._reject_silent(key)
         )
         self._peers[key] = _ObserverConnection(
-            connection, Frames(MAGIC, MAX_OBSERVER_FRAME_BYTES), subscribe_deadline
+            connection, FrameDecoder(MAGIC, MAX_OBSERVER_FRAME_BYTES), subscribe_deadline
         )
         connection.on_data = lambda data: self._handle_data(key, data)
         connection.on_flushed = lambda: self._handle_flushed(key)
@@ -196,7 +201,7 @@
                 self._run_effects(self.registry.add_connection(effect.key, subscribe, self.loop.clock.now()))
 
     def _send(self, send: Send) -> None:
-        data = frame(send.message)
+        data = encode_frame(send.message)
         for key in send.keys:
             peer = self._peers.get(key)
             if peer is None:
@@ -222,7 +227,7 @@
         if end.kind in (Rejection.SLOW, Rejection.UNRESPONSIVE):
             connection.close()
             return
-        connection.write(frame(Rejected(end.kind.value, end.reason)))
+        connection.write(encode_frame(Rejected(end.kind.value, end.reason)))
         connection.close_when_sent()
 
     # -- timers and the announcement
@@ -240,11 +245,11 @@
     @property
     def stale_ms(self) -> float:
         """How long the member has had no message from a leader."""
-        return max(0.0, self.loop.clock.now() - self.member.heard_at)
+        return max(0.0, self.loop.clock.now() - self.member.last_leader_contact_ms)
 
     def _announce(self, now: float) -> None:
         """Submit one command at a time: grant the lease, renew it if due, or put what has changed."""
-        if self._command_pending or self.member.failed:
+        if self._command_pending or self.member.disk_failed:
             return
         if not self._lease:
             self._submit(Grant(LEASE_MS), self._handle_granted)
@@ -259,7 +264,7 @@
 
         An earlier command with an unknown result may have written the document and so set the epochs of its
         entries."""
-        name = OBSERVERS + self.member.born.name
+        name = OBSERVERS + self.member.identity.name
         document = self.member.store.get(name)
         puts = self.registry.build_announcement(self._lease, now, self._announce_all)
         if puts:
--- a/tests/observer_sim.py
+++ b/tests/observer_sim.py
@@ -29,7 +29,7 @@
 from eiderpin.store.observer_sessions import is_observed
 from eiderpin.store.raft import Role
 from eiderpin.store.state import Answer, Delete, Event, Put, Store, Transaction, unpack
-from tests.store_sim import Broken, Trouble, World
+from tests.store_sim import FaultInjector, InvariantViolated, SimulatedCluster
 
 HISTORY_EVENTS = 20  # kept by members; an observer without a connection for 1 to 2 s needs a snapshot
 WORKER_COUNT = 6  # workers that have overrides
@@ -47,7 +47,7 @@
 
     def schedule(self, delay_ms: float, callback: Callable[[], None]) -> None:
         """Call back after this many ms if the process is alive then, or later when it is no longer frozen."""
-        self.world.after(delay_ms, lambda: self.run(callback))
+        self.world.schedule(delay_ms, lambda: self.run(callback))
 
     def run(self, callback: Callable[[], None]) -> None:
         """Call back now, or when the process is no longer frozen; never if it was killed."""
@@ -116,7 +116,7 @@
         world = self.process.world
         client_end = SimConnection(self.process)
         client_end.remote = address[0]
-        world.after(world.latency(), lambda: world.deliver_connection(client_end))
+        world.schedule(world.latency(), lambda: world.deliver_connection(client_end))
         return client_end
 
 
@@ -141,7 +141,7 @@
         if self.closed or self.closing:
             return
         self.outbox.append(data)
-        self.world.after(self.world.latency(), self.transmit)
+        self.world.schedule(self.world.latency(), self.transmit)
         self.on_flushed()
 
     def transmit(self) -> None:
@@ -150,7 +150,7 @@
         if peer is None or not self.outbox:
             return
         if (self.process.name, peer.process.name) in self.world.cuts:
-            self.world.after(100.0, self.transmit)
+            self.world.schedule(100.0, self.transmit)
             return
         peer.inbox += self.outbox
         self.outbox.clear()
@@ -188,7 +188,7 @@
 
     def send_eof(self) -> None:
         self.outbox.append(None)
-        self.world.after(self.world.latency(), self.transmit)
+        self.world.schedule(self.world.latency(), self.transmit)
 
 
 class SimListener:
@@ -222,7 +222,9 @@
 
     def apply_events(self, events: list[Event]) -> None:
         if self.copy.position < self.latest_position:
-            raise Broken(f"{self.name} goes back from {self.latest_position} to {self.copy.position}")
+            raise InvariantViolated(
+                f"{self.name} goes back from {self.latest_position} to {self.copy.position}"
+            )
         self.latest_position = self.copy.position
         self.world.check_copy(self.name, self.copy)
 
@@ -237,7 +239,7 @@
 
 
 @dataclass
-class ObserverWorld(World):
+class ObserverWorld(SimulatedCluster):
     """The simulated cluster with observers."""
 
     observers: int = 5
@@ -265,7 +267,7 @@
 
     def start(self, name: str) -> None:
         super().start(name)
-        member = self._member(name)
+        member = self.running_member(name)
         member.history = member.store.history = HISTORY_EVENTS
         process = self.processes[name] = Process(self, name)
         with mock.patch.object(observer_server, "Listener", SimListener):
@@ -296,7 +298,7 @@
         if client_end.closed or not client_end.process.alive:
             return
         if (client_end.process.name, client_end.remote) in self.cuts:
-            self.after(100.0, lambda: self.deliver_connection(client_end))
+            self.schedule(100.0, lambda: self.deliver_connection(client_end))
             return
         if listener is None:
             client_end.process.run(client_end.handle_reset)
@@ -318,8 +320,8 @@
 
     # -- the reference
 
-    def saw_applied(self, name: str, index: int, term: int, data: bytes) -> None:
-        super().saw_applied(name, index, term, data)
+    def check_applied(self, name: str, index: int, term: int, data: bytes) -> None:
+        super().check_applied(name, index, term, data)
         while self.reference_index + 1 in self.applied:
             self.reference_index += 1
             try:
@@ -340,9 +342,11 @@
         return found
 
     def check_copy(self, name: str, copy: Subscription) -> None:
-        """Check that an observer's copy equals the reference at the copy's revision. Raises `Broken`."""
+        """Check that a copy equals the reference at the copy's revision. Raises `InvariantViolated`."""
         if copy.revision > self.reference.revision:
-            raise Broken(f"{name} is at revision {copy.revision}; {self.reference.revision} is the last")
+            raise InvariantViolated(
+                f"{name} is at revision {copy.revision}; {self.reference.revision} is the last"
+            )
         expected: dict[str, tuple[bytes, int]] = {}
         for revision, image in reversed(self.reference_images):
             if revision <= copy.revision:
@@ -351,12 +355,12 @@
         actual = {d.name: (d.value, d.revision) for d in copy.documents.values()}
         if actual != expected:
             differs = sorted(n for n in actual.keys() | expected.keys() if actual.get(n) != expected.get(n))
-            raise Broken(f"{name} at revision {copy.revision} differs in {', '.join(differs)}")
+            raise InvariantViolated(f"{name} at revision {copy.revision} differs in {', '.join(differs)}")
 
     # -- the end of a run
 
     def check_convergence(self) -> None:
-        """Check that all observers are up to date and that all agree on who is live. Raises `Broken`."""
+        """Check that observers are up to date and agree on who is live. Raises `InvariantViolated`."""
         for process in self.processes.values():
             process.frozen_until = 0.0
         self.run(self.now + 25_000.0)
@@ -369,21 +373,23 @@
             last = self.reference_images[-1]
             newest = next(r for r, image in self.reference_images if image == last[1])
             if follower.copy.revision < newest or not follower.observer.subscribed:
-                raise Broken(f"{name} is at {follower.copy.revision}; {newest} is the last change")
+                raise InvariantViolated(f"{name} is at {follower.copy.revision}; {newest} is the last change")
             if follower.observer.presence_state is not PresenceState.KNOWN:
-                raise Broken(f"{name} is {follower.observer.presence_state.value}")
+                raise InvariantViolated(f"{name} is {follower.observer.presence_state.value}")
         for follower in self.superseded:
             if follower.process.alive and follower.observer.presence_state is not PresenceState.FENCED:
-                raise Broken(f"the earlier {follower.name} is {follower.observer.presence_state.value}")
+                raise InvariantViolated(
+                    f"the earlier {follower.name} is {follower.observer.presence_state.value}"
+                )
         ranked = sorted(self.followers)
         for position, name in enumerate(ranked):
             if self.followers[name].placement != (len(ranked), position):
-                raise Broken(f"{name} believes it is {self.followers[name].placement} of {ranked}")
+                raise InvariantViolated(f"{name} believes it is {self.followers[name].placement} of {ranked}")
         for member in self.live():
             merged = self.servers[member].registry.merged.observers
             tokens = {name: live.entry.token for name, live in merged.items()}
             if tokens != {name: f.copy.token for name, f in self.followers.items()}:
-                raise Broken(f"{member} knows {tokens}")
+                raise InvariantViolated(f"{member} knows {tokens}")
 
 
 class Writer:
@@ -392,12 +398,12 @@
     def __init__(self, world: ObserverWorld, interval_ms: tuple[float, float]) -> None:
         self.world, self.interval_ms = world, interval_ms
         self.version = 0
-        self.over = False
+        self.stopped = False
         self.schedule_next()
 
     def schedule_next(self) -> None:
-        if not self.over:
-            self.world.after(self.world.rng.uniform(*self.interval_ms), self.write)
+        if not self.stopped:
+            self.world.schedule(self.world.rng.uniform(*self.interval_ms), self.write)
 
     def write(self) -> None:
         """Submit one random change."""
@@ -412,7 +418,7 @@
                 change = Put(CURRENT_CONFIG, b"%d\n{}" % self.version)
             elif rng.random() < 0.3:
                 change = Put(f"other{rng.randrange(3)}", b"%d" % self.version)
-            member = world._member(rng.choice(live))
+            member = world.running_member(rng.choice(live))
             member.submit("", rng.getrandbits(50), Transaction([change]), _ignore, world.now, 300.0)
         self.schedule_next()
 
@@ -421,21 +427,21 @@
     """Ignore the answer: the reference shows whether the change was committed."""
 
 
-class ObserverTrouble:
+class ObserverFaultInjector:
     """Injects faults: cuts, resets, frozen and killed observers, two observers with one name."""
 
     def __init__(self, world: ObserverWorld) -> None:
         self.world = world
-        self.over = False
+        self.stopped = False
         self.schedule_next()
 
     def schedule_next(self) -> None:
-        if not self.over:
-            self.world.after(self.world.rng.uniform(200.0, 900.0), self.inject_fault)
+        if not self.stopped:
+            self.world.schedule(self.world.rng.uniform(200.0, 900.0), self.inject_fault)
 
     def inject_fault(self) -> None:
         """Inject one random fault."""
-        if self.over:
+        if self.stopped:
             return
         rng, world = self.world.rng, self.world
         name = rng.choice(sorted(world.followers))
@@ -444,7 +450,7 @@
             member = rng.choice(world.names)
             pairs = [(name, member), (member, name)][: rng.choice([1, 2])]
             world.cuts |= set(pairs)
-            world.after(rng.uniform(100.0, 5000.0), lambda: world.cuts.difference_update(pairs))
+            world.schedule(rng.uniform(100.0, 5000.0), lambda: world.cuts.difference_update(pairs))
         elif kind == "reset":
             world.reset_connections()
         elif kind == "freeze":
@@ -466,7 +472,7 @@
             return
         old.process.frozen_until = world.now + 4000.0
         world.superseded.append(old)
-        world.after(500.0, lambda: world.follow(name) if old is world.followers[name] else None)
+        world.schedule(500.0, lambda: world.follow(name) if old is world.followers[name] else None)
 
 
 def run_simulation(
@@ -476,18 +482,18 @@
     subscription: type[Subscription] = Subscription,
     server: type[ObserverServer] = ObserverServer,
 ) -> ObserverWorld:
-    """Run one simulation of `duration_ms`. Raises `Broken` if a guarantee does not hold."""
+    """Run one simulation of `duration_ms`. Raises `InvariantViolated` if a guarantee does not hold."""
     world = ObserverWorld(seed, observers=observers, subscription=subscription, server=server)
-    troubles: list[Any] = [ObserverTrouble(world), Trouble(world, False)]
+    injectors: list[Any] = [ObserverFaultInjector(world), FaultInjector(world, False)]
     writer = Writer(world, (10.0, 200.0))
     for step in range(1, 7):
         world.run(duration_ms * step / 6)
         for name in world.live():
-            if world._member(name).raft.role is Role.LEADER:
-                world.look(name)
-    for trouble in (*troubles, writer):
-        trouble.over = True
-    world.settle()
+            if world.running_member(name).raft.role is Role.LEADER:
+                world.check_leader(name)
+    for injector in (*injectors, writer):
+        injector.stopped = True
+    world.heal_and_converge()
     world.check_convergence()
     return world
 
--- a/tests/test_observer_sim.py
+++ b/tests/test_observer_sim.py
@@ -16,7 +16,7 @@
 from eiderpin.store.presence import ServedObservers
 from eiderpin.store.state import Compacted, Event
 from tests.observer_sim import run_simulation
-from tests.store_sim import Broken
+from tests.store_sim import InvariantViolated
 
 SEEDS = range(40)
 
@@ -140,7 +140,7 @@
         for what, seed, patches, subscription in FAULTS:
             with self.subTest(what):
                 run_simulation(seed)  # without the fault, the seed passes
-                with self.assertRaises((Broken, AssertionError, KeyError)):
+                with self.assertRaises((InvariantViolated, AssertionError, KeyError)):
                     run_with_patches(
                         patches,
                         lambda seed=seed, kind=subscription: run_simulation(seed, subscription=kind),  # type: ignore[misc]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -26,8 +26,8 @@
 from eiderpin.core.learned import Learned
 from eiderpin.store import hints, orders
 from eiderpin.store.client import StoreClient, StoreRequestError
-from eiderpin.store.framing import Frames, frame
-from eiderpin.store.messages import Beat
+from eiderpin.store.framing import FrameDecoder, encode_frame
+from eiderpin.store.messages import Heartbeat
 from eiderpin.store.transport import MAGIC, VERSION, Hello, Welcome
 from tests.standins import HttpWorker, http_call, wait_for
 from tests.test_command import eiderpin
@@ -251,7 +251,7 @@
             # A member of the old cluster at that address is refused, with the reason.
             host, port = at.split(":")
             with socket.create_connection((host, int(port)), 5) as sock:
-                sock.sendall(MAGIC + frame(Hello(VERSION, "c1", "m0", "fresh")))
+                sock.sendall(MAGIC + encode_frame(Hello(VERSION, "c1", "m0", "fresh")))
                 self.assertIn("cluster c1", refusal(sock))
             new.kill()
             data = bytearray(Path(path).read_bytes())
@@ -338,7 +338,7 @@
 
 
 def refusal(sock: socket.socket) -> str:
-    frames, found = Frames(b""), []
+    frames, found = FrameDecoder(b""), []
     while not found:
         data = sock.recv(65536)
         if not data:
@@ -352,10 +352,10 @@
         with cluster(1) as it:
             host, port = it.all["m0"].listen.split(":")
             for said, why in (
-                (MAGIC + frame(Hello(VERSION + 1, "c1", "x", "m0")), "version"),
-                (MAGIC + frame(Hello(VERSION, "c2", "x", "m0")), "cluster c2"),
-                (MAGIC + frame(Hello(VERSION, "c1", "x", "m9")), "looks for m9"),
-                (MAGIC + frame(Hello(VERSION, "c1", "x", "m0")), ""),
+                (MAGIC + encode_frame(Hello(VERSION + 1, "c1", "x", "m0")), "version"),
+                (MAGIC + encode_frame(Hello(VERSION, "c2", "x", "m0")), "cluster c2"),
+                (MAGIC + encode_frame(Hello(VERSION, "c1", "x", "m9")), "looks for m9"),
+                (MAGIC + encode_frame(Hello(VERSION, "c1", "x", "m0")), ""),
                 (b"GET / HTTP/1.1\r\n\r\n", "closed"),
                 (MAGIC + b"\xff\xff\xff\xff", "closed"),
                 (MAGIC + b"\0\0\0\4junk", "closed"),
@@ -366,14 +366,14 @@
                     got = refusal(sock)
                     self.assertTrue(why in got if why else got == "", (said, got))
                     if not why:
-                        sock.sendall(frame(Beat("x", "m0", 0, 0, 0)) + b"\0\0\0\1\xc1")
+                        sock.sendall(encode_frame(Heartbeat("x", "m0", 0, 0, 0)) + b"\0\0\0\1\xc1")
                         self.assertEqual(sock.recv(100), b"")  # what makes no sense ends it
             self.assertGreater(it.store_client().put("a", b"1")["revision"], 0)
 
     def test_frames_cut_anywhere(self) -> None:
-        data = MAGIC + frame(Hello(1, "c", "a", "b")) + frame(Welcome(1, "no"))
+        data = MAGIC + encode_frame(Hello(1, "c", "a", "b")) + encode_frame(Welcome(1, "no"))
         for cut in range(len(data)):
-            frames = Frames(MAGIC)
+            frames = FrameDecoder(MAGIC)
             self.assertEqual(len(frames.feed(data[:cut]) + frames.feed(data[cut:])), 2)
 
 
