--- a/eiderpin/store/admission.py
+++ b/eiderpin/store/admission.py
@@ -16,7 +16,7 @@
         now: The current time.
         per_second: Tokens added per second; each snapshot takes one.
         burst: Capacity of the bucket.
-        concurrent: How many admitted snapshots may be unfinished at the same time.
+        max_concurrent: How many admitted snapshots may be unfinished at the same time.
     """
 
     def __init__(
--- a/eiderpin/store/client.py
+++ b/eiderpin/store/client.py
@@ -53,10 +53,10 @@
         """
         deadline = time.monotonic() + self.timeout
         while True:
-            left = deadline - time.monotonic()
+            remaining = deadline - time.monotonic()
             try:
                 return self._call_once(
-                    self.addresses[0], {"op": op, **fields}, max(0.2, min(left, attempt_timeout))
+                    self.addresses[0], {"op": op, **fields}, max(0.2, min(remaining, attempt_timeout))
                 )
             except StoreRequestError as error:
                 if error.kind not in ("no-leader", "unknown", "unreachable") or time.monotonic() > deadline:
--- a/eiderpin/store/observer_registry.py
+++ b/eiderpin/store/observer_registry.py
@@ -138,9 +138,8 @@
             entries = presence.read(value) if value is not None else None
         except msgspec.MsgspecError:
             return  # keep the previous entries
-        if (
-            member == self.member
-        ):  # including observers that lost their connection and stay announced for the lease
+        if member == self.member:
+            # Including observers that lost their connection: they stay announced for the lease.
             for entry in entries or ():
                 self.served.set_epoch(entry.name, entry.token, entry.epoch or revision)
         self.merged.set_entries(member, entries, revision)
