--- a/eiderpin/fleet/__init__.py
+++ b/eiderpin/fleet/__init__.py
@@ -1,2 +1,3 @@
-"""What dispatchers do together: kept outcomes, orders, hints, who owns a ledger, who is speaking, the stages
-of a start. Each decision is a pure module: events and time in, actions out; one file ties it to the store."""
+"""What dispatchers do together: stored outcomes, overrides, warm-start hints, ownership of a ledger,
+incarnations, the stages of a start. Decisions are in pure modules (events and time in, actions out); other
+modules connect them to the store."""
--- a/eiderpin/fleet/comeback.py
+++ b/eiderpin/fleet/comeback.py
@@ -1,8 +1,9 @@
-"""The stages of a start: what a dispatcher that comes back knows, how old that is at the most, and what share
-of the traffic it asks for meanwhile. Rules without I/O or a clock of their own; times in ms.
+"""Stages of a dispatcher's start: how current its knowledge is, and what share of its usual traffic it asks
+for meanwhile. Rules without I/O or a clock of their own; times in ms.
 
-Serving never waits for the store. While it has yet to be heard, what the member's own disk says of orders and
-configuration is followed as it was, and the dispatcher asks for less; after `ALONE` it goes on without.
+A dispatcher serves without waiting for the store. Until it has reached the store, the overrides and the
+configuration on the member's own disk apply, and it asks for less traffic. After `STORE_WAIT_MS` without the
+store it asks for its full share again.
 """
 
 from __future__ import annotations
@@ -10,57 +11,74 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-ALONE = 10_000.0  # for which a start defers to a store that is not heard
-STEPS = ("listed", "caught_up", "known")  # what a start comes to, each once
+STORE_WAIT_MS = 10_000.0  # with a worker list, a start asks for less for at most this long without the store
+STEPS = ("listed", "caught_up", "known")  # the steps of a start, see `RejoinProgress.record`
 
 
 class Stage(Enum):
     """How far a start has come."""
 
-    BLANK = "blank"  # no list of workers has come: what is known is of a former life
-    LISTED = "listed"  # the workers are known; orders and configuration are of the member's own disk
-    ALONE = "alone"  # so still, and the store has not been heard for long: it is served all the same
-    CAUGHT_UP = "caught up"  # both are current; others do not know yet that we are there
-    WHOLE = "whole"
+    BLANK = "blank"  # no worker list yet: what is known of the workers is from an earlier incarnation
+    LISTED = "listed"  # the workers are known; overrides and configuration are those on the member's own disk
+    ALONE = "alone"  # as LISTED, but the store has not been reached within STORE_WAIT_MS
+    CAUGHT_UP = "caught up"  # both are current, but other dispatchers do not know yet that this one is live
+    WHOLE = "whole"  # all steps are done
 
 
-SHARES = {Stage.BLANK: 25, Stage.LISTED: 50, Stage.ALONE: 100, Stage.CAUGHT_UP: 75, Stage.WHOLE: 100}
+TRAFFIC_PERCENT = {
+    Stage.BLANK: 25,
+    Stage.LISTED: 50,
+    Stage.ALONE: 100,
+    Stage.CAUGHT_UP: 75,
+    Stage.WHOLE: 100,
+}
 
 
 @dataclass(slots=True)
 class RejoinProgress:
-    """One start. `note` what has been reached; each step counts from its first time, and a step may be gone
-    back on only by a new process."""
+    """Progress of one start. A step counts from the first time that it is reached and is never undone; only a
+    new process starts over."""
 
-    begun: float
-    at: dict[str, float] = field(default_factory=dict)
+    started_at: float
+    reached_at: dict[str, float] = field(default_factory=dict)
 
-    def note(self, now: float, listed: bool, caught_up: bool, known: bool) -> bool:
-        """What holds now: the list of workers has been told since we began; the store has confirmed that what
-        our member holds is current; the others have been told that we are there. Whether we are whole just
-        now, for the first time."""
+    def record(self, now: float, listed: bool, caught_up: bool, known: bool) -> bool:
+        """Record which steps hold now.
+
+        Args:
+            now: The time, in ms.
+            listed: The worker list has arrived since the start.
+            caught_up: The store has confirmed that the local copy of its documents is current.
+            known: Other dispatchers know that this one is live.
+
+        Returns:
+            Whether this call completed the start.
+        """
         before = self.stage(now)
         for step, reached in zip(STEPS, (listed, caught_up, known), strict=True):
             if reached:
-                self.at.setdefault(step, now)
+                self.reached_at.setdefault(step, now)
         return before is not Stage.WHOLE and self.stage(now) is Stage.WHOLE
 
     def stage(self, now: float) -> Stage:
         """How far the start has come by now."""
-        if "listed" not in self.at:
+        if "listed" not in self.reached_at:
             return Stage.BLANK
-        if "caught_up" not in self.at:
-            return Stage.LISTED if now < self.begun + ALONE else Stage.ALONE
-        return Stage.WHOLE if "known" in self.at else Stage.CAUGHT_UP
+        if "caught_up" not in self.reached_at:
+            return Stage.LISTED if now < self.started_at + STORE_WAIT_MS else Stage.ALONE
+        return Stage.WHOLE if "known" in self.reached_at else Stage.CAUGHT_UP
 
     def traffic_percent(self, now: float) -> int:
-        """Per cent of the traffic that it would take when whole."""
-        return SHARES[self.stage(now)]
-
-    def age(self, step: str, now: float) -> float:
-        """How old at the most what depends on this step is: of a former life, it may be of any age."""
-        return now - self.at[step] if step in self.at else float("inf")
-
-    def took(self) -> dict[str, int]:
-        """ms from our beginning to each step that has been reached."""
-        return {step: int(self.at[step] - self.begun) for step in STEPS if step in self.at}
+        """Share of its usual traffic that the dispatcher asks for now, in per cent."""
+        return TRAFFIC_PERCENT[self.stage(now)]
+
+    def max_age_ms(self, step: str, now: float) -> float:
+        """Upper bound, in ms, on the age of what depends on this step. It is infinite until the step is
+        reached, for the data may be from an earlier incarnation."""
+        return now - self.reached_at[step] if step in self.reached_at else float("inf")
+
+    def step_times_ms(self) -> dict[str, int]:
+        """Time from the start to each step reached so far, in ms."""
+        return {
+            step: int(self.reached_at[step] - self.started_at) for step in STEPS if step in self.reached_at
+        }
--- a/eiderpin/fleet/control_plane.py
+++ b/eiderpin/fleet/control_plane.py
@@ -1,5 +1,6 @@
-"""A dispatcher that follows the store as an observer: what it is told, applied to the running dispatcher, and
-what it tells of itself. It has no disk and no vote, and serves on with what it has while no member answers.
+"""A dispatcher that follows the store as an observer: it applies what the store's members send, and reports
+its own state to them. It has no disk and no vote, and keeps serving with the copy it has while no member
+answers.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from eiderpin.store.observer_protocol import Report
 from eiderpin.store.state import Event
 
-REFRESH_EVERY = 1_000.0  # ms between looks whether what is said of us has changed
+REFRESH_INTERVAL_MS = 1_000.0  # between checks whether the report about this dispatcher has changed
 TOKEN_BITS = 64
 
 
@@ -30,10 +31,11 @@
     """The observer of a running dispatcher; implements `ObserverSink`.
 
     Args:
-        about: What operators may know of this dispatcher.
-        take_shared: Applies a shared configuration, see `FollowedDocuments`.
-        has_worker_list: Whether the list of workers has come since the start.
-        on_fenced: Is called once where another process has begun with our name.
+        describe: What operators may know of this dispatcher.
+        apply_shared_config: Applies a shared configuration, see `FollowedDocuments`.
+        has_worker_list: Whether a worker list has arrived since the start.
+        on_fenced: Called once when another process has started under our name.
+        log_info, log_warning: Write log lines for operators.
     """
 
     def __init__(
@@ -43,80 +45,84 @@
         core: Dispatcher,
         options: FollowOptions,
         rng: random.Random,
-        about: Callable[[], dict[str, Any]],
-        take_shared: Callable[[bytes], list[str]],
+        describe: Callable[[], dict[str, Any]],
+        apply_shared_config: Callable[[bytes], list[str]],
         has_worker_list: Callable[[], bool],
         on_fenced: Callable[[], None],
-        say: Callable[[str], None],
-        warn: Callable[[str], None],
+        log_info: Callable[[str], None],
+        log_warning: Callable[[str], None],
     ) -> None:
-        """Begin to follow; nothing is known before the first copy."""
-        self.loop, self.core, self.about, self.has_worker_list = loop, core, about, has_worker_list
-        self.on_fenced, self.say = on_fenced, say
-        self.documents = FollowedDocuments(core, counters, take_shared, say, warn)
+        """Start to follow the store; nothing is known before the first copy."""
+        self.loop, self.core, self.describe, self.has_worker_list = loop, core, describe, has_worker_list
+        self.on_fenced, self.log_info = on_fenced, log_info
+        self.documents = FollowedDocuments(core, counters, apply_shared_config, log_info, log_warning)
         self.rejoin = RejoinProgress(loop.clock.now())
         token = f"{rng.getrandbits(TOKEN_BITS):016x}"
         subscription = Subscription(options.cluster, options.name, token, options.region)
-        self.observer = Observer(loop, counters, subscription, options.endpoints, self, rng, say, warn)
+        self.observer = Observer(
+            loop, counters, subscription, options.endpoints, self, rng, log_info, log_warning
+        )
         self._refresh()
 
-    # -- what we are told
+    # -- ObserverSink: what the store's members send
 
     def apply_events(self, events: list[Event]) -> None:
-        """Apply what has changed."""
+        """Apply changed documents."""
         for event in events:
-            self.documents.take(event.name, event.value)
+            self.documents.apply_document(event.name, event.value)
 
     def set_placement(self, instances: int, instance: int) -> None:
         """Share the workers with the other dispatchers."""
         if self.core.share(instances, instance):
-            self.say(f"control plane: dispatcher {instance} of {instances}")
+            self.log_info(f"control plane: dispatcher {instance} of {instances}")
 
     def handle_fenced(self) -> None:
-        """Another process has our name."""
+        """Pass on that another process holds our name."""
         self.on_fenced()
 
-    # -- what we tell
+    # -- ObserverSink: what is reported to them
 
     def build_report(self, revision: int) -> Report:
-        """What is in force here."""
-        self._note_stage()
-        config = self.documents.config
+        """Report the configuration in force here and the state of this dispatcher."""
+        self._record_progress()
+        config = self.documents.applied_config
         about = {
-            **self.about(),
+            **self.describe(),
             "config": str(config),
             "incarnation": str(self.observer.subscription.epoch or ""),
             "stage": self.stage(),
-            "took": self.rejoin.took(),
+            "took": self.rejoin.step_times_ms(),
         }
-        return Report(revision, config.number, config.outcome.value, config.detail, orjson.dumps(about))
+        return Report(
+            revision, config.version_number, config.outcome.value, config.detail, orjson.dumps(about)
+        )
 
     def stage(self) -> str:
         """How far the start has come."""
         return self.rejoin.stage(self.loop.clock.now()).value
 
-    def _note_stage(self) -> None:
-        """Note how far the start has come; it is asked for after whatever the member says."""
+    def _record_progress(self) -> None:
+        """Record how far the start has come. The report after each message of the member leads here, too."""
         current = self.observer.current_at is not None
         known = self.observer.presence_state is not PresenceState.UNKNOWN
-        if self.rejoin.note(self.loop.clock.now(), self.has_worker_list(), current, known):
-            self.say(f"control plane: {self.observer.subscription.name} is whole")
+        if self.rejoin.record(self.loop.clock.now(), self.has_worker_list(), current, known):
+            self.log_info(f"control plane: {self.observer.subscription.name} is whole")
 
     def _refresh(self) -> None:
-        self.loop.deadlines.set(self.loop.clock.now() + REFRESH_EVERY, self._refresh)
-        self._note_stage()
+        self.loop.deadlines.set(self.loop.clock.now() + REFRESH_INTERVAL_MS, self._refresh)
+        self._record_progress()
         self.observer.refresh()
 
-    # -- what operators ask
+    # -- status for operators
 
     @property
     def is_fenced(self) -> bool:
-        """Whether another process has our name."""
+        """Whether another process holds our name."""
         return self.observer.presence_state is PresenceState.FENCED
 
     def readiness_detail(self) -> str:
-        """What readiness is to say beside its state; empty where all is well."""
-        if not self.observer.cut_off:
+        """Text that follows the readiness state while the store is out of reach; empty otherwise."""
+        if not self.observer.is_cut_off:
             return ""
         return f", control plane {self.observer.age_ms / 1000:.0f} s old"
 
@@ -135,32 +141,33 @@
             "epoch": subscription.epoch,
             "age_ms": int(observer.age_ms),
             "standing": observer.presence_state.value,
-            "config": str(self.documents.config),
+            "config": str(self.documents.applied_config),
         }
 
     def close(self) -> None:
-        """End as planned."""
+        """Stop following the store, as planned."""
         self.observer.close()
 
 
 class ObserverCalls:
-    """The store's calls at an observer's management address: its own status; all else is the members'."""
+    """The store's calls at an observer's management API. It answers for its own status only; all other calls
+    are for the members."""
 
     max_line_bytes = 1 << 20
 
     def __init__(self, control_plane: ControlPlane) -> None:
-        """Answer for this observer."""
+        """Answer calls about this observer."""
         self.control_plane = control_plane
 
-    def call(self, caller: ManagementConnection, said: bytes) -> None:
-        """Answer one line of JSON."""
+    def call(self, caller: ManagementConnection, line: bytes) -> None:
+        """Answer one call, a line of JSON."""
         try:
-            asked = orjson.loads(said)
+            call = orjson.loads(line)
         except orjson.JSONDecodeError:
-            asked = None
-        if isinstance(asked, dict) and asked.get("op") == "status":
+            call = None
+        if isinstance(call, dict) and call.get("op") == "status":
             answer: dict[str, Any] = {"ok": True, "observer": self.control_plane.status()}
         else:
-            text = "this dispatcher follows the store and is no member of it: ask at a member's door"
+            text = "this dispatcher follows the store and is no member of it: call a member's management API"
             answer = {"ok": False, "kind": "no-leader", "error": text}
         caller.reply(orjson.dumps(answer).decode())
--- a/eiderpin/fleet/followed_documents.py
+++ b/eiderpin/fleet/followed_documents.py
@@ -1,5 +1,5 @@
-"""What a dispatcher does with the documents of the store that operators change: overrides for workers and the
-shared configuration. It makes no difference whether they come through its own member or a subscription.
+"""Applies the store's documents that operators change: overrides for workers and the shared configuration.
+They may come from the dispatcher's own member of the store or from a subscription.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedConfig:
-    """What became of a version of the shared configuration here. As text it is what operators are shown."""
+    """What became of a version of the shared configuration here. Its text is what operators are shown."""
 
     version: str = ""
     outcome: ConfigOutcome = ConfigOutcome.NONE
-    detail: str = ""
+    detail: str = ""  # why it was rejected, or which settings need a restart
 
     def __str__(self) -> str:
-        """What operators are shown; empty where there is no shared configuration."""
+        """Text for operators; empty where there is no shared configuration."""
         if self.outcome is ConfigOutcome.NONE:
             return ""
         if self.outcome is ConfigOutcome.REJECTED:
@@ -33,8 +33,8 @@
         return f"version {self.version} taken"
 
     @property
-    def number(self) -> int:
-        """The version as a number; 0 where it is none."""
+    def version_number(self) -> int:
+        """The version as a number; 0 where it is not one."""
         return int(self.version) if self.version.isdigit() else 0
 
 
@@ -42,60 +42,63 @@
     """Applies documents as they change.
 
     Args:
-        take_shared: Applies the text of a shared configuration, and returns the names of the settings that
-            count from the next start on. Raises `ValueError` where it cannot be used, and changes nothing.
-        say, warn: Log lines for operators.
+        apply_shared_config: Applies the text of a shared configuration, and returns the names of the settings
+            that take effect only after a restart. Raises `ValueError`, without changing anything, where the
+            configuration cannot be used.
+        log_info, log_warning: Write log lines for operators.
     """
 
     def __init__(
         self,
         core: Dispatcher,
         counters: Counters,
-        take_shared: Callable[[bytes], list[str]],
-        say: Callable[[str], None],
-        warn: Callable[[str], None],
+        apply_shared_config: Callable[[bytes], list[str]],
+        log_info: Callable[[str], None],
+        log_warning: Callable[[str], None],
     ) -> None:
-        """Begin without any override or shared configuration."""
-        self.core, self.counters, self.take_shared = core, counters, take_shared
-        self.say, self.warn = say, warn
-        self.config = AppliedConfig()
-        self.orders = orders.Orders()
-        core.overrides = self.orders
+        """Start without any override or shared configuration."""
+        self.core, self.counters, self.apply_shared_config = core, counters, apply_shared_config
+        self.log_info, self.log_warning = log_info, log_warning
+        self.applied_config = AppliedConfig()
+        self.overrides = orders.Orders()
+        core.overrides = self.overrides
 
-    def take(self, name: str, value: bytes | None) -> None:
-        """The document of this name has changed; None: it is gone."""
+    def apply_document(self, name: str, value: bytes | None) -> None:
+        """Apply a changed document; a value of None means that it was deleted."""
         if name.startswith(WORKER_ORDERS):
-            self.take_order(name.removeprefix(WORKER_ORDERS), value)
+            self.apply_override(name.removeprefix(WORKER_ORDERS), value)
         elif name == CURRENT:
-            self.take_config(value)
+            self.apply_config(value)
 
-    def take_order(self, worker: str, value: bytes | None) -> None:
-        """The override for a worker has changed. One that cannot be read leaves it as it was."""
-        order = None
+    def apply_override(self, worker: str, value: bytes | None) -> None:
+        """Apply a changed override for a worker. An unreadable one leaves the previous one in place."""
+        override = None
         if value is not None:
             try:
-                order = orders.read(value)
+                override = orders.read(value)
             except ValueError as error:
-                self.warn(f"store: {WORKER_ORDERS}{worker} is not followed: {error}")
+                self.log_warning(f"store: {WORKER_ORDERS}{worker} is not followed: {error}")
                 return
-        if self.orders.take(worker, order):
+        if self.overrides.take(worker, override):
             self.counters.add("store.orders")
-            self.say(f"store: order for worker {worker}: {order if order is not None else 'taken back'}")
+            self.log_info(
+                f"store: order for worker {worker}: {override if override is not None else 'taken back'}"
+            )
             self.core.reapply_overrides([worker])
 
-    def take_config(self, value: bytes | None) -> None:
-        """The shared configuration has changed; without one, what was taken last stays in force."""
+    def apply_config(self, value: bytes | None) -> None:
+        """Apply a changed shared configuration; when it is deleted, the last one applied stays in force."""
         if value is None:
             return
         head, _, text = value.partition(b"\n")
         version = head.decode("ascii", "replace")
         try:
-            later = self.take_shared(text)
+            restart_settings = self.apply_shared_config(text)
         except ValueError as error:
             detail = str(error).replace("\n", " ")
-            self.config = AppliedConfig(version, ConfigOutcome.REJECTED, detail)
-            self.warn(f"store: configuration {self.config}")
+            self.applied_config = AppliedConfig(version, ConfigOutcome.REJECTED, detail)
+            self.log_warning(f"store: configuration {self.applied_config}")
             return
-        outcome = ConfigOutcome.RESTART_NEEDED if later else ConfigOutcome.IN_FORCE
-        self.config = AppliedConfig(version, outcome, ", ".join(later))
-        self.say(f"store: configuration {self.config}")
+        outcome = ConfigOutcome.RESTART_NEEDED if restart_settings else ConfigOutcome.IN_FORCE
+        self.applied_config = AppliedConfig(version, outcome, ", ".join(restart_settings))
+        self.log_info(f"store: configuration {self.applied_config}")
--- a/eiderpin/fleet/incarnation.py
+++ b/eiderpin/fleet/incarnation.py
@@ -1,10 +1,12 @@
-"""Who is speaking: which life of a dispatcher. Rules without I/O.
-
-A process that begins reads `incarnations/NAME` and puts it anew, if nobody else has meanwhile. The revision
-at which that is committed, with the generation of the store, is its incarnation, and no life before or after
-it has the same. Whatever it writes from then on is carried out only while that document is as it left it. So
-one that was frozen, or cut off, while a successor by its name began finds out by its first write, if not
-before, and writes nothing more: it is fenced, for good.
+"""Incarnations: which of the processes started under one dispatcher name is the current one. Rules without
+I/O.
+
+A starting process reads the document `incarnations/NAME` and writes it anew, provided that nobody else has
+written it in between. The revision at which that write commits, together with the store's generation, is the
+process's incarnation; no other process ever has the same one. Every later write of the process is conditional
+on that document being unchanged. A process that was frozen or cut off while a successor started under its
+name therefore learns of it with its next write at the latest, and that write has no effect: it is fenced, for
+good.
 """
 
 from __future__ import annotations
@@ -15,84 +17,114 @@
 
 from eiderpin.store.state import Compare, Put, Transaction
 
-PREFIX = "incarnations/"
+DOCUMENT_PREFIX = "incarnations/"
 
 
 class ClaimState(Enum):
     """Whether a process holds its name."""
 
-    UNKNOWN = "unknown"  # it has not been claimed yet, or nobody has said so
+    UNKNOWN = "unknown"  # the name has not been claimed yet, or the outcome of the claim is unknown
     HELD = "held"
-    FENCED = "fenced"  # another process has our name
+    FENCED = "fenced"  # another process holds the name
 
 
 class Incarnation:
-    """`token` is drawn anew by each process; `generation` is the store's."""
+    """The incarnation of this process and whether it is still the current one of its name.
+
+    Args:
+        name: The dispatcher's name.
+        token: Random value that each process draws anew.
+        generation: The store's generation.
+    """
 
     def __init__(self, name: str, token: str, generation: int) -> None:
-        """Begin unknown, until `read` and `claim`."""
+        """Start in state UNKNOWN; `record_initial_revision` and `build_claim` come next."""
         self.name, self.token, self.generation = name, token, generation
         self.claim_state = ClaimState.UNKNOWN
-        self.revision = 0
-        self.seen: int | None = None  # the document's revision when we began; None: not read yet
+        self.revision = (
+            0  # of the document as this process wrote it; 0: its claim is not known to be committed
+        )
+        self.initial_revision: int | None = None  # of the document before our claim; None: not read yet
 
     def __str__(self) -> str:
-        """Empty: there is none yet."""
+        """GENERATION.REVISION; empty while there is no incarnation yet."""
         return f"{self.generation}.{self.revision}" if self.revision else ""
 
     @property
-    def document(self) -> str:
-        """The name of the document that says which life is the latest."""
-        return PREFIX + self.name
-
-    def read(self, revision: int) -> None:
-        """The document as it is now, by a read that covers all that was committed; 0: there is none."""
-        if self.seen is None:
-            self.seen = revision
-
-    def claim(self) -> Transaction:
-        """May be asked for again where nobody says what became of it."""
-        assert self.seen is not None, "it is read first"
+    def document_name(self) -> str:
+        """Name of the document that identifies the latest incarnation of this name."""
+        return DOCUMENT_PREFIX + self.name
+
+    def record_initial_revision(self, revision: int) -> None:
+        """Record the document's revision before our claim; 0: it does not exist.
+
+        The revision must come from a read that covers everything committed so far.
+        """
+        if self.initial_revision is None:
+            self.initial_revision = revision
+
+    def build_claim(self) -> Transaction:
+        """The transaction that claims the name. It can be submitted again when its outcome is unknown."""
+        assert self.initial_revision is not None, "the document's revision must be read before it is claimed"
         value = orjson.dumps({"token": self.token})
-        return Transaction([Put(self.document, value)], [Compare(self.document, self.seen)])
+        return Transaction(
+            [Put(self.document_name, value)], [Compare(self.document_name, self.initial_revision)]
+        )
 
-    def heard(self, value: bytes | None, revision: int, refused: bool = False) -> bool:
-        """What the document says, as our member has it; whether that has just fenced us. `refused`: our claim
-        was not carried out, and this is why."""
+    def apply_document(self, value: bytes | None, revision: int, claim_refused: bool = False) -> bool:
+        """Update the claim state from the document as the local member has it.
+
+        Args:
+            value: The document's value; None: it does not exist.
+            revision: The document's revision; 0: it does not exist.
+            claim_refused: Our claim was not carried out, because the document had changed.
+
+        Returns:
+            Whether this call fenced the process.
+        """
         if self.claim_state is ClaimState.FENCED:
             return False
-        if token_of(value) == self.token:
+        if parse_token(value) == self.token:
             self.claim_state, self.revision = ClaimState.HELD, revision
             return False
-        taken = self.claim_state is ClaimState.HELD and (value is None or revision > self.revision)
-        if not (refused or taken):
-            return False  # of an earlier life
+        name_taken = self.claim_state is ClaimState.HELD and (value is None or revision > self.revision)
+        if not (claim_refused or name_taken):
+            return False  # the document still is that of an earlier incarnation
         self.claim_state = ClaimState.FENCED
         return True
 
-    def replaced(self) -> bool:
-        """The other members say that another disk has our name; whether that has just fenced us."""
-        news = self.claim_state is not ClaimState.FENCED
+    def mark_replaced(self) -> bool:
+        """Fence this process because the other members report that another disk has its name. Returns whether
+        this call fenced it."""
+        newly_fenced = self.claim_state is not ClaimState.FENCED
         self.claim_state = ClaimState.FENCED
-        return news
+        return newly_fenced
 
-    def guarded(self, change: Transaction) -> Transaction:
-        """The change, carried out only while we are the latest by our name. Raises `ValueError` where we are
-        not known to be."""
+    def guard(self, change: Transaction) -> Transaction:
+        """Make a change conditional on this process being the latest incarnation of its name.
+
+        Raises:
+            ValueError: The process is not known to hold its name.
+        """
         if self.claim_state is not ClaimState.HELD:
             raise ValueError(f"the incarnation of {self.name} is {self.claim_state.value}")
-        return Transaction(change.ops, [*change.compares, Compare(self.document, self.revision)])
+        return Transaction(change.ops, [*change.compares, Compare(self.document_name, self.revision)])
 
 
-def token_of(value: bytes | None) -> str:
-    """The token that an incarnation's document names; empty where it names none."""
+def parse_token(value: bytes | None) -> str:
+    """The token in an incarnation document; empty where there is none."""
     try:
         return str(orjson.loads(value or b"{}").get("token") or "")
     except (orjson.JSONDecodeError, AttributeError):
         return ""
 
 
-def holds(by: str, generation: int, revision: int) -> bool:
-    """Whether `by`, as a document names its writer (NAME/INCARNATION), is the latest life of its name, whose
-    document is at `revision` now."""
-    return revision > 0 and by.rpartition("/")[2] == f"{generation}.{revision}"
+def is_latest_incarnation(writer: str, generation: int, revision: int) -> bool:
+    """Whether the writer of a document is the latest incarnation of its name.
+
+    Args:
+        writer: NAME/INCARNATION, as the document names its writer.
+        generation: The store's generation.
+        revision: The current revision of the name's incarnation document; 0: it does not exist.
+    """
+    return revision > 0 and writer.rpartition("/")[2] == f"{generation}.{revision}"
--- a/eiderpin/fleet/member_choice.py
+++ b/eiderpin/fleet/member_choice.py
@@ -1,9 +1,9 @@
-"""Which member an observer subscribes to. Pure; times in ms.
+"""Chooses the member that an observer subscribes to. Pure; times in ms.
 
-Members of the observer's own region come first, each group in the order of rendezvous hashing (highest
-random weight; Thaler and Ravishankar, 1998): the weight is a hash of observer and member, so observers spread
-evenly, and when a member goes only its own observers move. A member that failed is avoided for a while, for
-longer each time that it fails again.
+Members of the observer's own region come first. Within each group, members are in the order of rendezvous
+hashing (highest random weight; Thaler and Ravishankar, 1998): the weight is a hash of observer and member, so
+observers spread evenly, and when a member fails only its own observers move. A member that failed is avoided
+for a time that doubles with each further failure.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from eiderpin.parts.observer import Endpoint
 
-AVOID_FIRST = 2_000.0
+FIRST_AVOID_MS = 2_000.0
 MAX_AVOID_MS = 30_000.0
 
 
 @dataclass(slots=True)
-class _Avoided:
+class _Avoidance:
     until: float
-    times: int
+    repeats: int  # failures after the first one
 
 
 def weight(observer: str, member: str) -> int:
@@ -36,7 +36,7 @@
 
     Args:
         observer: The observer's name.
-        region: Its region; empty: none is preferred.
+        region: The observer's region; empty: no region is preferred.
         endpoints: The members; at least one.
         rng: Spreads how long a member is avoided.
     """
@@ -47,34 +47,34 @@
         self.ranked = sorted(
             endpoints, key=lambda e: (bool(region) and e.region != region, -weight(observer, e.member))
         )
-        self._avoided: dict[str, _Avoided] = {}
+        self._avoided: dict[str, _Avoidance] = {}
 
     @property
     def first(self) -> Endpoint:
-        """The member to be at when all are well."""
+        """The member to use when all of them work."""
         return self.ranked[0]
 
     def best(self, now: float) -> Endpoint | None:
-        """The first member that is not avoided now; None: all are."""
+        """The highest ranked member that is not avoided now; None: all are avoided."""
         for endpoint in self.ranked:
-            avoided = self._avoided.get(endpoint.member)
-            if avoided is None or now >= avoided.until:
+            avoidance = self._avoided.get(endpoint.member)
+            if avoidance is None or now >= avoidance.until:
                 return endpoint
         return None
 
     def next_member(self, now: float) -> Endpoint:
-        """The member to try now: the best, or the one whose time is over soonest."""
+        """The member to try now: the best one; where all are avoided, the one whose avoidance ends first."""
         best = self.best(now)
         if best is not None:
             return best
         return min(self.ranked, key=lambda endpoint: self._avoided[endpoint.member].until)
 
     def avoid(self, member: str, now: float) -> None:
-        """A member has failed, or is of no use for the time being."""
-        times = self._avoided[member].times + 1 if member in self._avoided else 0
-        bound = min(MAX_AVOID_MS, AVOID_FIRST * 2.0**times)
-        self._avoided[member] = _Avoided(now + self.rng.uniform(0.5, 1.0) * bound, min(times, 10))
+        """Avoid a member that has failed or cannot serve at present: for half of its bound to all of it."""
+        repeats = self._avoided[member].repeats + 1 if member in self._avoided else 0
+        bound = min(MAX_AVOID_MS, FIRST_AVOID_MS * 2.0**repeats)
+        self._avoided[member] = _Avoidance(now + self.rng.uniform(0.5, 1.0) * bound, min(repeats, 10))
 
     def clear_avoidance(self, member: str) -> None:
-        """A member serves us well: what was held against it is forgotten."""
+        """Forget the failures of a member that works."""
         self._avoided.pop(member, None)
--- a/eiderpin/fleet/observer.py
+++ b/eiderpin/fleet/observer.py
@@ -1,6 +1,7 @@
-"""The control-plane client of a dispatcher without a disk: one connection to one member of the store, on the
-program's loop. What is taken from a member is decided in `subscription`, which member in `member_choice`, and
-how long to wait in `backoff`; here are the connection and the deadlines. Times in ms.
+"""Control-plane client of a dispatcher without a disk: one connection at a time to one member of the store,
+on the program's event loop. `subscription` decides what is accepted from a member, `member_choice` which
+member to use, and `backoff` how long to wait; this module handles the connection and the deadlines. Times in
+ms.
 """
 
 from __future__ import annotations
@@ -35,33 +36,33 @@
 from eiderpin.store.observer_protocol import FROM_MEMBER, MAGIC, Leave, Rejection, Report
 from eiderpin.store.state import Event
 
-ACCEPT_WITHIN = 2_400.0  # from the beginning of a connection to the first message
-SILENCE = 2_500.0  # without any message after which a member is given up; it sends a ping each second
-STALE = 3_000.0  # for which a member may have heard of no leader before another one is tried
-SPREAD = 500.0  # after a connection that worked has broken, all of its observers come back within this
-START_SPREAD = 300.0
-RETURN_AFTER = 40_000.0  # half of this to all of it at another than the first choice; then that is tried
-RETURN_LONGEST = 320_000.0  # it doubles each time, up to this
-WARN_AGE = 30_000.0  # of the copy, after which the log says so once
+ACCEPT_TIMEOUT_MS = 2_400.0  # from the start of a connection to the member's first message
+SILENCE_TIMEOUT_MS = 2_500.0  # between messages of a member, which sends a ping each second
+MAX_STALE_MS = 3_000.0  # since a member last heard of a leader; beyond that another member is tried
+RECONNECT_SPREAD_MS = 500.0  # the observers of a member that failed reconnect spread over this time
+START_SPREAD_MS = 300.0  # processes started together connect spread over this time
+RETURN_DELAY_MS = 40_000.0  # an observer not at its first choice tries that after half of this to all of it
+MAX_RETURN_DELAY_MS = 320_000.0  # that delay doubles up to this while the first choice does not accept
+WARN_AGE_MS = 30_000.0  # age of the copy beyond which operators are warned, once
 
 
 class ObserverSink(Protocol):
-    """What a dispatcher does with what it is told."""
+    """What a dispatcher does with what the members send."""
 
     def apply_events(self, events: list[Event]) -> None:
-        """Documents have changed; apply them at once."""
+        """Apply changed documents at once."""
         ...
 
     def set_placement(self, instances: int, instance: int) -> None:
-        """So many dispatchers are live, and this is the one with that number, from 0."""
+        """Set how many dispatchers are live, and which of them this one is, from 0."""
         ...
 
     def handle_fenced(self) -> None:
-        """Another process has our name, for good."""
+        """React to another process holding our name, which is final."""
         ...
 
     def build_report(self, revision: int) -> Report:
-        """What is in force, all up to this revision having been applied."""
+        """Report what is in force after all changes up to this revision have been applied."""
         ...
 
 
@@ -70,18 +71,18 @@
 
     UNKNOWN = "unknown"
     KNOWN = "known"
-    FENCED = "fenced"
+    FENCED = "fenced"  # another process holds the name
 
 
 class Observer:
     """Follows the store through one member after the other until it is closed.
 
     Args:
-        subscription: The copy to keep.
-        endpoints: The members that may be asked; at least one.
-        sink: Is told of what changes.
+        subscription: Holds the copy of the documents.
+        endpoints: The members to choose from; at least one.
+        sink: Applies what changes.
         rng: Spreads the times of connecting.
-        say, warn: Log lines for operators.
+        log_info, log_warning: Write log lines for operators.
     """
 
     def __init__(
@@ -92,241 +93,249 @@
         endpoints: Sequence[Endpoint],
         sink: ObserverSink,
         rng: random.Random,
-        say: Callable[[str], None],
-        warn: Callable[[str], None],
+        log_info: Callable[[str], None],
+        log_warning: Callable[[str], None],
     ) -> None:
-        """Begin to connect, within a moment that differs between observers."""
-        self.loop, self.counters, self.sink, self.say, self.warn = loop, counters, sink, say, warn
+        """Schedule the first connection, at a time that differs between observers."""
+        self.loop, self.counters, self.sink, self.log_info, self.log_warning = (
+            loop, counters, sink, log_info, log_warning
+        )  # fmt: skip
         self.subscription, self.rng = subscription, rng
-        self.choice = MemberChoice(subscription.name, subscription.region, endpoints, rng)
+        self.member_choice = MemberChoice(subscription.name, subscription.region, endpoints, rng)
         self.backoff = FullJitter(rng)
-        self.endpoint: Endpoint | None = None  # where we are, or try to be
-        self.subscribed = False  # the member has accepted us
+        self.endpoint: Endpoint | None = None  # the member connected to, or tried last
+        self.subscribed = False  # whether the member has accepted the subscription
         self.presence_state = PresenceState.UNKNOWN
-        self.current_at: float | None = None  # when the copy was certain to be up to date; None: never
-        self._begun_at = loop.clock.now()
+        self.current_at: float | None = None  # when the copy was last known to be up to date; None: never
+        self._started_at = loop.clock.now()
         self._connection: Connection | None = None
-        self._silent_at: Deadline | None = None
-        self._retry_at: Deadline | None = None
-        self._return_at: Deadline | None = None
-        self._return_bound = RETURN_AFTER
-        self._reported: Report | None = None
-        self._warned = False
+        self._silence_deadline: Deadline | None = None
+        self._retry_deadline: Deadline | None = None
+        self._return_deadline: Deadline | None = None
+        self._return_bound_ms = RETURN_DELAY_MS
+        self._last_report: Report | None = None
+        self._age_warned = False
         self._closed = False
-        self._connect_after(rng.uniform(0.0, START_SPREAD))
+        self._connect_after(rng.uniform(0.0, START_SPREAD_MS))
 
     # -- figures
 
     @property
     def age_ms(self) -> float:
-        """For how long the copy may have been out of date, in ms; before the first copy, since the start."""
-        since = self.current_at if self.current_at is not None else self._begun_at
+        """How long the copy may have been out of date; before the first copy, the time since the start."""
+        since = self.current_at if self.current_at is not None else self._started_at
         return max(0.0, self.loop.clock.now() - since)
 
     @property
-    def cut_off(self) -> bool:
-        """Whether changes may have been missed for longer than a change of member takes."""
-        return self.age_ms > 2 * STALE
+    def is_cut_off(self) -> bool:
+        """Whether changes may have been missed for longer than it takes to change to another member."""
+        return self.age_ms > 2 * MAX_STALE_MS
 
     # -- connecting
 
-    def _connect_after(self, wait: float) -> None:
-        self.loop.deadlines.drop(self._retry_at)
-        self._retry_at = self.loop.deadlines.set(self.loop.clock.now() + wait, self._connect)
+    def _connect_after(self, wait_ms: float) -> None:
+        self.loop.deadlines.drop(self._retry_deadline)
+        self._retry_deadline = self.loop.deadlines.set(self.loop.clock.now() + wait_ms, self._connect)
 
     def _connect(self) -> None:
         now = self.loop.clock.now()
-        self._look_at_age()
-        self.endpoint = self.choice.next_member(now)
+        self._check_age()
+        self.endpoint = self.member_choice.next_member(now)
         connection = self.loop.connect(self.endpoint.address)
         if connection is None:
-            self._failed()
+            self._handle_failure()
             return
         self.counters.add("observer.connects")
         self._connection = connection
         frames = Frames(b"")
         connection.on_open = lambda: connection.write(MAGIC + frame(self.subscription.subscribe()))
-        connection.on_data = lambda data: self._received(connection, frames, data)
-        connection.on_end = self._lost
-        self._expect(ACCEPT_WITHIN)
-
-    def _expect(self, within: float) -> None:
-        """Give the member up unless it says something within this time."""
-        self.loop.deadlines.drop(self._silent_at)
-        self._silent_at = self.loop.deadlines.set(self.loop.clock.now() + within, self._silent)
-
-    def _silent(self) -> None:
+        connection.on_data = lambda data: self._handle_data(connection, frames, data)
+        connection.on_end = self._handle_end
+        self._expect_message(ACCEPT_TIMEOUT_MS)
+
+    def _expect_message(self, within_ms: float) -> None:
+        """Give the member up unless a message comes within this time."""
+        self.loop.deadlines.drop(self._silence_deadline)
+        self._silence_deadline = self.loop.deadlines.set(
+            self.loop.clock.now() + within_ms, self._handle_silence
+        )
+
+    def _handle_silence(self) -> None:
         self.counters.add("observer.silent")
-        self._give_up()
+        self._give_up_member()
 
-    def _give_up(self) -> None:
-        """End the connection ourselves, and go on as when it had ended."""
+    def _give_up_member(self) -> None:
+        """Close the connection, and go on as after its end."""
         self._disconnect()
-        self._lost()
+        self._handle_end()
 
     def _disconnect(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
 
-    def _lost(self) -> None:
-        """The connection has ended, whoever ended it."""
+    def _handle_end(self) -> None:
+        """Schedule the next connection after this one has ended on either side."""
         worked, self.subscribed = self.subscribed, False
         self._connection = None
-        self.loop.deadlines.drop(self._silent_at)
-        self.loop.deadlines.drop(self._return_at)
+        self.loop.deadlines.drop(self._silence_deadline)
+        self.loop.deadlines.drop(self._return_deadline)
         if self._closed:
             return
         if worked:
             self.counters.add("observer.lost")
-            self._avoid()
-            self._connect_after(self.rng.uniform(0.0, SPREAD))
+            self._avoid_member()
+            self._connect_after(self.rng.uniform(0.0, RECONNECT_SPREAD_MS))
         else:
-            self._failed()
+            self._handle_failure()
 
-    def _failed(self) -> None:
+    def _handle_failure(self) -> None:
         self.counters.add("observer.failed")
-        self._avoid()
-        if self.choice.best(self.loop.clock.now()) is not None:
+        self._avoid_member()
+        if self.member_choice.best(self.loop.clock.now()) is not None:
             self._connect_after(self.rng.uniform(0.0, self.backoff.base))
         else:
             self._connect_after(self.backoff.next_wait_ms())
 
-    def _avoid(self) -> None:
+    def _avoid_member(self) -> None:
         if self.endpoint is not None:
-            self.choice.avoid(self.endpoint.member, self.loop.clock.now())
+            self.member_choice.avoid(self.endpoint.member, self.loop.clock.now())
 
-    def _move(self) -> None:
-        """Change to the member that is best now; the copy goes on from where it is."""
+    def _change_member(self) -> None:
+        """Change to the member that is best now; the copy keeps its position."""
         self.counters.add("observer.moves")
         self._disconnect()
         self.subscribed = False
-        self.loop.deadlines.drop(self._silent_at)
-        self.loop.deadlines.drop(self._return_at)
+        self.loop.deadlines.drop(self._silence_deadline)
+        self.loop.deadlines.drop(self._return_deadline)
         self._connect_after(0.0)
 
-    # -- what the member says
+    # -- messages of the member
 
-    def _received(self, connection: Connection, frames: Frames, data: bytes) -> None:
+    def _handle_data(self, connection: Connection, frames: Frames, data: bytes) -> None:
         try:
             messages = [FROM_MEMBER.decode(body) for body in frames.feed(data)]
             for message in messages:
                 for update in self.subscription.handle_message(message):
-                    self._take(update)
+                    self._apply_update(update)
                 if self._connection is not connection:
                     return
                 self._note_subscribed()
         except SubscriptionError as error:
-            self._violated(error.violation, str(error))
+            self._handle_violation(error.violation, str(error))
             return
         except (ValueError, msgspec.MsgspecError) as error:
-            self._violated(Violation.MALFORMED, str(error))
+            self._handle_violation(Violation.MALFORMED, str(error))
             return
-        self._expect(SILENCE)
-        self._report()
+        self._expect_message(SILENCE_TIMEOUT_MS)
+        self._send_report()
 
-    def _violated(self, violation: Violation, text: str) -> None:
+    def _handle_violation(self, violation: Violation, text: str) -> None:
         member = self.endpoint.member if self.endpoint is not None else ""
         self.counters.add(f"observer.violation.{violation.value}")
-        self.warn(f"control plane: member {member} is given up: {text}")
-        self._give_up()
+        self.log_warning(f"control plane: member {member} is given up: {text}")
+        self._give_up_member()
 
     def _note_subscribed(self) -> None:
-        """The member has accepted us."""
+        """Note that the member has accepted the subscription."""
         if self.subscribed or self.endpoint is None:
             return
         self.subscribed = True
-        self._reported = None  # it knows nothing of us yet
+        self._last_report = None  # this member has no report of ours yet
         self.backoff.reset()
-        if self.endpoint is not self.choice.first:
-            wait = self.rng.uniform(self._return_bound / 2, self._return_bound)
-            self._return_bound = min(RETURN_LONGEST, self._return_bound * 2)
-            self._return_at = self.loop.deadlines.set(self.loop.clock.now() + wait, self._return)
+        if self.endpoint is not self.member_choice.first:
+            wait_ms = self.rng.uniform(self._return_bound_ms / 2, self._return_bound_ms)
+            self._return_bound_ms = min(MAX_RETURN_DELAY_MS, self._return_bound_ms * 2)
+            self._return_deadline = self.loop.deadlines.set(
+                self.loop.clock.now() + wait_ms, self._return_to_first
+            )
         else:
-            self._return_bound = RETURN_AFTER
+            self._return_bound_ms = RETURN_DELAY_MS
 
-    def _return(self) -> None:
-        """Try the first choice again, so that load returns to a member that was away."""
-        self._move()
+    def _return_to_first(self) -> None:
+        """Try the first choice again, so that a member that has recovered gets its load back."""
+        self._change_member()
 
-    def _take(self, update: Update) -> None:
+    def _apply_update(self, update: Update) -> None:
         if isinstance(update, Reply):
             self._send(update.message)
         elif isinstance(update, DocumentsChanged):
             self.counters.add("observer.changes", len(update.events))
             self.sink.apply_events(update.events)
         elif isinstance(update, UpToDate):
-            self._note_current(update.stale_ms)
+            self._handle_up_to_date(update.stale_ms)
         elif isinstance(update, Placement):
             self.sink.set_placement(update.instances, update.instance)
         elif isinstance(update, PresenceConfirmed):
             self.presence_state = PresenceState.KNOWN
         elif isinstance(update, FencedOut):
-            self._fenced()
+            self._handle_fenced()
         else:
-            self._refused(update)
+            self._handle_refusal(update)
 
-    def _refused(self, refused: Refused) -> None:
-        self.counters.add(f"observer.refused.{refused.kind}")
+    def _handle_refusal(self, refusal: Refused) -> None:
+        self.counters.add(f"observer.refused.{refusal.kind}")
         member = self.endpoint.member if self.endpoint is not None else ""
-        if refused.kind != Rejection.CLOSING.value:
-            self.warn(f"control plane: member {member} refuses: {refused.reason}")
-        self._give_up()
+        if refusal.kind != Rejection.CLOSING.value:
+            self.log_warning(f"control plane: member {member} refuses: {refusal.reason}")
+        self._give_up_member()
 
-    def _note_current(self, stale_ms: float) -> None:
+    def _handle_up_to_date(self, stale_ms: float) -> None:
         now = self.loop.clock.now()
-        if stale_ms < STALE:
+        if stale_ms < MAX_STALE_MS:
             self.current_at = now - stale_ms
             if self.endpoint is not None:
-                self.choice.clear_avoidance(self.endpoint.member)
-            self._look_at_age()
+                self.member_choice.clear_avoidance(self.endpoint.member)
+            self._check_age()
             return
-        self._avoid()  # it hears of no leader: another one may
-        self._look_at_age()
-        if self.choice.best(now) is not None:
-            self._move()
-
-    def _look_at_age(self) -> None:
-        """Tell operators once that the copy has grown old, and once that it is up to date again."""
-        if self.age_ms > WARN_AGE and not self._warned:
-            self._warned = True
+        self._avoid_member()  # it hears of no leader, but another member may
+        self._check_age()
+        if self.member_choice.best(now) is not None:
+            self._change_member()
+
+    def _check_age(self) -> None:
+        """Log once that the copy has grown old, and once that it is up to date again."""
+        if self.age_ms > WARN_AGE_MS and not self._age_warned:
+            self._age_warned = True
             self.counters.add("observer.cut_off")
-            self.warn(f"control plane: not heard for {self.age_ms / 1000:.0f} s; goes on with what it has")
-        elif self._warned and self.age_ms < STALE:
-            self._warned = False
-            self.say("control plane: up to date again")
-
-    def _fenced(self) -> None:
+            self.log_warning(
+                f"control plane: not heard for {self.age_ms / 1000:.0f} s; goes on with what it has"
+            )
+        elif self._age_warned and self.age_ms < MAX_STALE_MS:
+            self._age_warned = False
+            self.log_info("control plane: up to date again")
+
+    def _handle_fenced(self) -> None:
         if self.presence_state is not PresenceState.FENCED:
             self.presence_state = PresenceState.FENCED
             self.counters.add("observer.fenced")
-            self.warn(f"control plane: fenced: another process has begun as {self.subscription.name}")
+            self.log_warning(f"control plane: fenced: another process has begun as {self.subscription.name}")
             self.sink.handle_fenced()
 
-    # -- what the member is told
+    # -- messages to the member
 
     def _send(self, message: msgspec.Struct) -> None:
         if self._connection is not None:
             self._connection.write(frame(message))
 
-    def _report(self) -> None:
-        """Say what is in force, where that has changed since the last time."""
+    def _send_report(self) -> None:
+        """Report what is in force if it has changed since the last report."""
         if not self.subscribed or self._connection is None or self.current_at is None:
             return
         report = self.sink.build_report(self.subscription.revision)
-        if self._reported is None or _matters(report, self._reported):
-            self._reported = report
+        if self._last_report is None or _is_news(report, self._last_report):
+            self._last_report = report
             self._send(report)
 
     def refresh(self) -> None:
-        """What is said of us may have changed: tell it if so."""
-        self._look_at_age()
-        self._report()
+        """Check the copy's age, and report what is in force if that has changed."""
+        self._check_age()
+        self._send_report()
 
     def close(self) -> None:
-        """End as planned: the others need not wait for us."""
+        """Leave as planned: other dispatchers learn of it without waiting for a time-out."""
         self._closed = True
-        for deadline in (self._retry_at, self._silent_at, self._return_at):
+        for deadline in (self._retry_deadline, self._silence_deadline, self._return_deadline):
             self.loop.deadlines.drop(deadline)
         connection = self._connection
         if connection is not None:
@@ -334,6 +343,6 @@
             connection.close_when_sent()
 
 
-def _matters(report: Report, before: Report) -> bool:
-    """Whether a report says anything new; a revision without a change of ours does not."""
+def _is_news(report: Report, before: Report) -> bool:
+    """Whether a report differs from the previous one in more than its revision."""
     return msgspec.structs.replace(report, revision=before.revision) != before
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -1,10 +1,10 @@
-"""Kept outcomes of jobs that must not run twice, in the store: a resubmission to another dispatcher is not
-run again.
+"""Keeps the outcomes of jobs that must not run twice in the store, so that a job resubmitted to another
+dispatcher is not run again. Times in ms.
 
-A job is claimed by its name before its first byte goes to a worker, and its outcome is put there when it
-ends. Who asks for a name that another dispatcher has under way is turned down; one whose dispatcher has gone
-hears that the job failed, for it may have run. That costs two commits a job. Without a leader such jobs are
-turned down.
+A job's name is claimed in the store before the job's first byte goes to a worker, and its outcome is written
+there when it ends. A submission under a name that another dispatcher has under way is rejected; if that
+dispatcher has gone, the job is answered as failed, for it may have run. This costs two commits per job. While
+the store has no leader, such jobs are rejected.
 """
 
 from __future__ import annotations
@@ -26,113 +26,136 @@
 from eiderpin.store.host import StoreHost
 from eiderpin.store.names import PRESENT
 
-PREFIX = "outcomes/"
-BUCKET = 30_000.0  # ms for which outcomes go under one lease
-CLAIM_WITHIN = 2000.0  # ms that a claim may take
-END_WITHIN = 1000.0  # ms that a result waits at most for its place in the store
-MOST_UNSENT = 10_000
-AGAIN = 200.0  # ms between tries to get a lease
+DOCUMENT_PREFIX = "outcomes/"
+LEASE_BUCKET_MS = 30_000.0  # outcomes of this long a time share one lease
+CLAIM_TIMEOUT_MS = 2000.0
+MAX_ANSWER_DELAY_MS = 1000.0  # an answer waits at most this long for its outcome to be stored
+MAX_UNSENT_JOBS = 10_000
+LEASE_RETRY_MS = 200.0
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
-    """What the store holds of a job: who has it under way, or what came of it."""
+    """What the store holds of a job: who has it under way, or its outcome."""
 
-    by: str  # dispatcher and its incarnation
-    print: bytes  # of target and body
+    by: str  # NAME/INCARNATION of the dispatcher
+    print: bytes  # fingerprint of target and body
     verdict: str = ""  # empty: under way
     result: bytes = b""
 
 
 class OutcomeStore:
-    """Implements `core.durability.DurableJobManager`. `keep`: ms for which an outcome is kept after a job's
-    claim, or a little longer."""
+    """Implements `core.durability.DurableJobManager` on the store.
+
+    Args:
+        host: Runs the store's member.
+        core: The dispatcher.
+        classes: The classes of jobs whose outcomes are kept.
+        keep_ms: How long an outcome is kept after the job's claim, at least; up to `LEASE_BUCKET_MS` longer.
+        own_incarnation: The incarnation of this dispatcher.
+    """
 
     def __init__(
-        self, host: StoreHost, core: Dispatcher, classes: frozenset[str], keep: float, life: Incarnation
+        self,
+        host: StoreHost,
+        core: Dispatcher,
+        classes: frozenset[str],
+        keep_ms: float,
+        own_incarnation: Incarnation,
     ) -> None:
-        """Begin without a lease; no job of `classes` is claimed before there is one."""
-        self.host, self.core, self.classes, self.keep, self.life = host, core, classes, keep, life
-        self.number = 0
-        self.claimed: set[int] = set()  # jobs of ours
-        self.unsent: OrderedDict[str, None] = OrderedDict()  # claimed perhaps, and nothing of them was sent
-        self.lease_number = 0
+        """Start without a lease; no job of `classes` is claimed before there is one."""
+        self.host, self.core, self.classes, self.keep_ms, self.own_incarnation = (
+            host, core, classes, keep_ms, own_incarnation
+        )  # fmt: skip
+        self.last_job = 0  # number of the last job accepted
+        self.claimed_jobs: set[int] = set()  # numbers of the jobs that this dispatcher has claimed
+        self.unsent_names: OrderedDict[str, None] = OrderedDict()  # may be claimed, but nothing was sent
+        self.lease_id = 0  # of the lease for new outcomes; 0: none yet
         self.renew_lease()
 
-    # -- the lease that outcomes go under
+    # -- the lease of the outcomes
 
     def renew_lease(self) -> None:
-        """Get the lease that the outcomes of the next while go under, and do so again after that."""
+        """Get a new lease for the outcomes of the next `LEASE_BUCKET_MS`; schedules itself again."""
 
-        def done(answer: state.Answer | Exception) -> None:
-            good = isinstance(answer, state.Answer) and bool(answer.lease)
+        def on_granted(answer: state.Answer | Exception) -> None:
+            granted = isinstance(answer, state.Answer) and bool(answer.lease)
             if isinstance(answer, state.Answer) and answer.lease:
-                self.lease_number = answer.lease
-            at = self.core.clock.now() + (BUCKET if good else AGAIN)
+                self.lease_id = answer.lease
+            at = self.core.clock.now() + (LEASE_BUCKET_MS if granted else LEASE_RETRY_MS)
             self.core.deadlines.set(at, self.renew_lease)
 
-        self.submit(state.Grant(self.keep + BUCKET), done, CLAIM_WITHIN)
+        self.submit(state.Grant(self.keep_ms + LEASE_BUCKET_MS), on_granted, CLAIM_TIMEOUT_MS)
 
     def submit(
-        self, op: state.Operation, done: Callable[[state.Answer | Exception], None], within: float
+        self, op: state.Operation, done: Callable[[state.Answer | Exception], None], timeout_ms: float
     ) -> None:
-        """Have a command carried out; `done` gets its answer, or why nobody knows one."""
+        """Submit a command to the store. `done` gets its answer, or why none is known."""
         member = self.host.member
-        member.submit("", member.rng.getrandbits(53), op, done, self.core.clock.now(), within)
+        member.submit("", member.rng.getrandbits(53), op, done, self.core.clock.now(), timeout_ms)
 
     @property
-    def me(self) -> str:
-        """How our claims name us: name and incarnation."""
-        return f"{self.life.name}/{self.life}"
+    def claimant(self) -> str:
+        """How claims name this process: NAME/INCARNATION."""
+        return f"{self.own_incarnation.name}/{self.own_incarnation}"
 
     def submit_guarded(
-        self, change: state.Transaction, done: Callable[[state.Answer | Exception], None], within: float
+        self,
+        change: state.Transaction,
+        done: Callable[[state.Answer | Exception], None],
+        timeout_ms: float,
     ) -> None:
-        """Carried out only while we are the latest process by our name."""
+        """Submit a change that is carried out only while we are the latest incarnation of our name."""
         try:
-            change = self.life.guarded(change)
+            change = self.own_incarnation.guard(change)
         except ValueError as error:
             done(error)
             return
-        self.submit(change, done, within)
+        self.submit(change, done, timeout_ms)
 
-    # -- what the core asks
+    # -- DurableJobManager
 
     def covers_class(self, cls: str) -> bool:
         """Whether the outcomes of this class are kept."""
         return cls in self.classes
 
-    def name_of(self, request: Request) -> str:
-        """The name of a job's document."""
-        return f"{PREFIX}{request.cls}/{request.unique}"
+    def document_name(self, request: Request) -> str:
+        """The name of a job's document in the store."""
+        return f"{DOCUMENT_PREFIX}{request.cls}/{request.unique}"
 
-    def claim_of(self, request: Request) -> Claim | None:
-        """What the store holds of a job; None: nothing."""
-        document = self.host.member.store.get(self.name_of(request))
+    def read_claim(self, request: Request) -> Claim | None:
+        """What the local member holds of a job; None: nothing."""
+        document = self.host.member.store.get(self.document_name(request))
         try:
             return msgspec.msgpack.decode(document.value, type=Claim) if document is not None else None
         except msgspec.MsgspecError:
-            return Claim("", b"")  # somebody else's writing: nobody knows
+            return Claim("", b"")  # unreadable: claimed by nobody that is known
 
-    def is_mine(self, request: Request) -> bool:
-        """Whether it is claimed by us, and has no outcome."""
-        claim = self.claim_of(request)
-        return claim is not None and claim.by == self.me and not claim.verdict
+    def is_own_claim(self, request: Request) -> bool:
+        """Whether this process has claimed the job, and the job has no outcome."""
+        claim = self.read_claim(request)
+        return claim is not None and claim.by == self.claimant and not claim.verdict
 
-    def revision(self, name: str) -> int:
-        """A document's revision as our member has it; 0: there is none."""
+    def current_revision(self, name: str) -> int:
+        """The revision of a document at the local member; 0: it does not exist."""
         document = self.host.member.store.get(name)
         return document.revision if document is not None else 0
 
-    def alive(self, by: str) -> bool:
-        """Whether the process that a claim names is still the one of its name, and live."""
-        name, store = by.rpartition("/")[0], self.host.member.store
-        document = store.get(incarnation.PREFIX + name)
-        latest = document is not None and incarnation.holds(by, self.life.generation, document.revision)
+    def is_live(self, claimant: str) -> bool:
+        """Whether the process that a claim names is live and still the latest incarnation of its name."""
+        name, store = claimant.rpartition("/")[0], self.host.member.store
+        document = store.get(incarnation.DOCUMENT_PREFIX + name)
+        latest = document is not None and incarnation.is_latest_incarnation(
+            claimant, self.own_incarnation.generation, document.revision
+        )
         return latest and store.get(PRESENT + name) is not None
 
     def stored_answer(self, request: Request) -> Answer | None:
-        """A job's kept answer; None: there is none."""
-        claim = self.claim_of(request)
+        """The answer that follows from a job's claim; None: there is none.
+
+        Raises:
+            JobMismatchError: A job of this name asked for something else.
+        """
+        claim = self.read_claim(request)
         if claim is None:
             return None
         if claim.print and claim.print != fingerprint(request.target, request.body):
@@ -140,118 +163,125 @@
         if claim.verdict:
             served = claim.verdict == Verdict.SERVED.value
             return Answer(Verdict.SERVED, claim.result) if served else FAILED
-        if claim.by == self.me:
-            return None if self.name_of(request) in self.unsent else FAILED
-        return None if self.alive(claim.by) else FAILED
+        if claim.by == self.claimant:
+            return None if self.document_name(request) in self.unsent_names else FAILED
+        return None if self.is_live(claim.by) else FAILED
 
     def deliver_stored_answer(self, request: Request, answer: Answer, tell: Callable[[Answer], None]) -> None:
-        """Give a kept answer; it is in the store already."""
+        """Deliver a stored answer at once; nothing about its delivery needs to be written."""
         tell(answer)
 
     def accept(self, request: Request) -> bool:
-        """Take a job on; whether it is one whose outcome is kept."""
-        claim = self.claim_of(request)
-        if self.host.member.failed or (claim is not None and claim.by != self.me):
+        """Accept a job, unless the disk has failed or another process has claimed it. Returns whether it was
+        accepted."""
+        claim = self.read_claim(request)
+        if self.host.member.failed or (claim is not None and claim.by != self.claimant):
             return False
-        self.number += 1
-        request.job = self.number
+        self.last_job += 1
+        request.job = self.last_job
         return True
 
     def when_durable(self, request: Request, call: Callable[[bool], None]) -> None:
-        """Call once the job is claimed (True), or cannot be (False)."""
+        """Call at once with True: accepting a job writes nothing that would have to be waited for."""
         call(True)
 
     def lease(self, attempt: Attempt, send: Callable[[], None]) -> None:
-        """Claim the job's name before its first byte."""
+        """Claim the job's name, then call `send`. If it cannot be claimed, end the attempt as not sent and
+        reject the request."""
         request = attempt.request
-        if request.job in self.claimed:
+        if request.job in self.claimed_jobs:
             send()
             return
-        if not self.lease_number or self.life.claim_state is not incarnation.ClaimState.HELD:
-            self.give_up(attempt)
+        if not self.lease_id or self.own_incarnation.claim_state is not incarnation.ClaimState.HELD:
+            self.reject_unclaimed(attempt)
             return
-        name = self.name_of(request)
-        value = msgspec.msgpack.encode(Claim(self.me, fingerprint(request.target, request.body)))
+        name = self.document_name(request)
+        value = msgspec.msgpack.encode(Claim(self.claimant, fingerprint(request.target, request.body)))
 
-        # One of ours that may have been left, with nothing sent: it is written anew, so that a removal of it
-        # that is still on its way finds another revision.
-        left_over = self.revision(name) if name in self.unsent and self.is_mine(request) else 0
+        # Our own earlier claim of this name may still stand, with nothing sent. Writing it anew changes its
+        # revision, so that a delete of it that is still on its way has no effect.
+        earlier_revision = (
+            self.current_revision(name) if name in self.unsent_names and self.is_own_claim(request) else 0
+        )
 
-        def done(answer: state.Answer | Exception) -> None:
+        def on_claimed(answer: state.Answer | Exception) -> None:
             if not isinstance(answer, state.Answer) or answer.error or not answer.ok:
                 self.note_unsent(name)
                 if not attempt.ended:
-                    self.give_up(attempt)
+                    self.reject_unclaimed(attempt)
                 return
             if attempt.ended or request.ended:
                 self.note_unsent(name)
                 return
-            self.unsent.pop(name, None)
-            self.claimed.add(request.job)
+            self.unsent_names.pop(name, None)
+            self.claimed_jobs.add(request.job)
             send()
 
-        put = state.Put(name, value, self.lease_number)
-        left = max(50.0, request.deadline - self.core.clock.now())
-        claim = state.Transaction([put], [state.Compare(name, left_over)])
-        self.submit_guarded(claim, done, min(CLAIM_WITHIN, left))
+        put = state.Put(name, value, self.lease_id)
+        time_left = max(50.0, request.deadline - self.core.clock.now())
+        claim = state.Transaction([put], [state.Compare(name, earlier_revision)])
+        self.submit_guarded(claim, on_claimed, min(CLAIM_TIMEOUT_MS, time_left))
 
-    def give_up(self, attempt: Attempt) -> None:
-        """It can't be claimed, and nothing of it has been sent."""
+    def reject_unclaimed(self, attempt: Attempt) -> None:
+        """Reject a job that cannot be claimed; nothing of it has been sent."""
         self.core.counters.add("outcomes.not_claimed")
         self.core.ended(attempt, Outcome.NOT_SENT)
         self.core.reject(attempt.request)
 
     def note_unsent(self, name: str) -> None:
-        """Nothing of this job went out: its claim may be given back."""
-        self.unsent[name] = None
-        while len(self.unsent) > MOST_UNSENT:
-            self.unsent.popitem(last=False)
+        """Note that nothing of this job was sent, so that a resubmission may claim its name and run it."""
+        self.unsent_names[name] = None
+        while len(self.unsent_names) > MAX_UNSENT_JOBS:
+            self.unsent_names.popitem(last=False)
 
     def renew(self, attempt: Attempt) -> None:
-        """A claim stands until its end."""
+        """Do nothing: a claim needs no renewal by the worker's progress."""
 
     def released(self, attempt: Attempt, outcome: Outcome) -> None:
-        """A claim stands until its job's end."""
+        """Do nothing: a claim stands until the job ends, not the attempt."""
 
     def end(self, request: Request, answer: Answer, told: bool, tell: Callable[[Answer], None]) -> None:
-        """Keep a job's outcome, then tell its client."""
-        if request.job not in self.claimed:
+        """Store a job's outcome and deliver its answer: a result after it is stored, within
+        `MAX_ANSWER_DELAY_MS`, anything else at once."""
+        if request.job not in self.claimed_jobs:
             tell(answer)
             return
-        self.claimed.discard(request.job)
-        name = self.name_of(request)
+        self.claimed_jobs.discard(request.job)
+        name = self.document_name(request)
         if answer.verdict is not Verdict.SERVED and not request.may_have_run():
-            # It has not run: whoever asks again may have it run, here or elsewhere.
+            # The job has not run: the claim is deleted, so that a resubmission may run it here or elsewhere.
             self.note_unsent(name)
-            gone = state.Transaction([state.Delete(name)], [state.Compare(name, self.revision(name))])
-            self.submit_guarded(gone, _nobody, CLAIM_WITHIN)
+            delete = state.Transaction(
+                [state.Delete(name)], [state.Compare(name, self.current_revision(name))]
+            )
+            self.submit_guarded(delete, _ignore_answer, CLAIM_TIMEOUT_MS)
             tell(answer)
             return
         claim = Claim(
-            self.me, fingerprint(request.target, request.body), answer.verdict.value, answer.result
+            self.claimant, fingerprint(request.target, request.body), answer.verdict.value, answer.result
         )  # fmt: skip
-        put = state.Put(name, msgspec.msgpack.encode(claim), self.lease_number)
+        put = state.Put(name, msgspec.msgpack.encode(claim), self.lease_id)
         if answer.verdict is not Verdict.SERVED:
-            self.submit(state.Transaction([put]), _nobody, CLAIM_WITHIN)
-            tell(answer)  # a job that was given up on is answered at once
+            self.submit(state.Transaction([put]), _ignore_answer, CLAIM_TIMEOUT_MS)
+            tell(answer)  # a failed job is answered without waiting for the store
             return
         guard: Deadline | None = None
 
-        def once(said: state.Answer | Exception | None = None) -> None:
+        def deliver_once(stored: state.Answer | Exception | None = None) -> None:
             nonlocal tell
             self.core.deadlines.drop(guard)
-            call, tell = tell, _nobody
+            call, tell = tell, _ignore_answer
             call(answer)
 
         now = self.core.clock.now()
-        at = min(now + END_WITHIN, max(now, request.deadline - 5.0))
-        guard = self.core.deadlines.set(at, once)
-        self.submit(state.Transaction([put]), once, CLAIM_WITHIN)
+        at = min(now + MAX_ANSWER_DELAY_MS, max(now, request.deadline - 5.0))
+        guard = self.core.deadlines.set(at, deliver_once)
+        self.submit(state.Transaction([put]), deliver_once, CLAIM_TIMEOUT_MS)
 
     def handle_late_report(self, wire_id: str, worker: str, state: str, result: bytes) -> bool:
-        """A result for a job that has ended here; whether it was kept."""
+        """Ignore a worker's report on a job that has ended here. Returns False: it was not kept."""
         return False
 
 
-def _nobody(said: object) -> None:
-    """Nobody waits for it."""
+def _ignore_answer(answer: object) -> None:
+    """Ignore an answer that nothing waits for."""
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -1,5 +1,6 @@
-"""Who owns the ledger of durable jobs: it is taken at a start, or once a predecessor gives it up; and given
-up to a successor with all that is under way, whose leases and clients go on there."""
+"""Ownership of the ledger of durable jobs. A process opens the ledger when it starts, or once its predecessor
+has released it. It releases the ledger to a successor together with the jobs under way, whose leases and
+clients continue there."""
 
 from __future__ import annotations
 
@@ -24,137 +25,152 @@
 from eiderpin.parts.durable import Options
 
 LEDGER_ERRORS = (Locked, BadFormat, Damaged, BrokenRule, OSError)
-ASK_EVERY = 100.0  # ms between looks whether our predecessor has given the ledger up ...
-ASK_AFTER_FAILURE = 5000.0  # ... and when it could not be read
-LIST_WITHIN = 3000.0  # ms in which the list must come before a ledger's jobs are taken up without it
+OPEN_RETRY_MS = 100.0  # between tries to open the ledger while the peer process owns it
+FAILED_OPEN_RETRY_MS = 5000.0  # after the ledger could not be read
+WORKER_LIST_TIMEOUT_MS = 3000.0  # after this time the ledger's jobs are recovered without a worker list
 
 
 class LedgerOwnership:
-    """`shared`: an old or a new process may be beside us, and own it. Raises one of `LEDGER_ERRORS` where it
-    cannot be had."""
+    """Opens, recovers and releases the ledger.
+
+    Args:
+        loop: The program's event loop.
+        core: The dispatcher.
+        workers: The links to the workers.
+        options: Settings of durable jobs.
+        name: The dispatcher's name.
+        peer_may_own: A peer process, old or new, may own the ledger.
+        log_info, log_warning: Write log lines for operators.
+
+    Raises:
+        One of `LEDGER_ERRORS`: The ledger cannot be opened.
+    """
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, workers: HttpWorkers, options: Options, name: str, shared: bool,
-        say: Callable[[str], None], warn: Callable[[str], None],
+        self, loop: Loop, core: Dispatcher, workers: HttpWorkers, options: Options, name: str,
+        peer_may_own: bool, log_info: Callable[[str], None], log_warning: Callable[[str], None],
     ) -> None:  # fmt: skip
-        """Open the ledger, or wait for the process beside us to give it up."""
+        """Open the ledger, or wait for the peer process to release it."""
         self.loop, self.core, self.workers = loop, core, workers
-        self.options, self.name, self.shared = options, name, shared
-        self.say, self.warn = say, warn
+        self.options, self.name, self.peer_may_own = options, name, peer_may_own
+        self.log_info, self.log_warning = log_info, log_warning
         self.job_manager: JobManager | None = None
-        self.ask_at = math.inf  # when we ask for it again
-        self.begun_at = loop.clock.now()
-        self.released = False  # it is the successor's, or about to be
-        self.waiting: list[
-            tuple[Request, ClientConnection]
-        ] = []  # its last owner's clients, until it is ready
-        self.open()
-
-    # -- taking it
-
-    def open(self) -> None:
-        """Own the ledger and read it; one that the process beside us may own is asked for again later."""
+        self.open_at = math.inf  # when to try to open the ledger again
+        self.started_at = loop.clock.now()
+        self.released = False  # the successor owns the ledger, or is about to
+        # Clients of the ledger's last owner, until its jobs are recovered.
+        self.waiting_clients: list[tuple[Request, ClientConnection]] = []
+        self.open_ledger()
+
+    # -- opening and recovering it
+
+    def open_ledger(self) -> None:
+        """Lock the ledger and read it. While the peer process may own it, schedule another try instead."""
         try:
             job_manager = JobManager(self.core, self.options, self.name)
         except LEDGER_ERRORS as error:
-            if not isinstance(error, Locked) or not self.shared:
+            if not isinstance(error, Locked) or not self.peer_may_own:
                 raise
             if self.core.job_manager is None:
                 self.core.job_manager = Elsewhere(self.options)
-            self.ask_at = self.loop.clock.now() + ASK_EVERY
+            self.open_at = self.loop.clock.now() + OPEN_RETRY_MS
             return
         self.core.job_manager = self.job_manager = job_manager
-        self.ask_at = math.inf
+        self.open_at = math.inf
         self.loop.selector.register(job_manager.log, READ, lambda mask: job_manager.settle())
-        self.keep_news()
+        self.defer_callbacks()
 
-    def keep_news(self) -> None:
-        """From here on call-backs wait until the ledger's jobs have been taken up."""
+    def defer_callbacks(self) -> None:
+        """Defer call-backs from now on until the ledger's jobs have been recovered."""
         if self.workers.deferred_callbacks is None:
             self.workers.deferred_callbacks = []
 
-    def defer_callback(self, news: dict[str, Any], reply: Callable[[int], None]) -> bool:
-        """Keep a call-back that comes before the ledger is ours; whether it was kept."""
-        return self.workers.defer_callback(news, reply)
+    def defer_callback(self, callback: dict[str, Any], reply: Callable[[int], None]) -> bool:
+        """Defer a call-back that arrives before the ledger's jobs are recovered. Returns whether it did."""
+        return self.workers.defer_callback(callback, reply)
 
     def on_ledger_released(self) -> None:
-        """Its owner has given it up to us, or has gone."""
+        """Open the ledger in the next turn: its owner has released it, or has gone."""
         self.released = False
         if self.job_manager is None:
-            self.keep_news()
-            self.ask_at = self.loop.clock.now()
+            self.defer_callbacks()
+            self.open_at = self.loop.clock.now()
 
     def run_turn(self) -> bool:
-        """Once a turn of the loop; whether nothing is left to be done about it."""
-        if self.loop.clock.now() >= self.ask_at:
-            self._ask()
+        """Open and recover the ledger when that is due; called in each turn of the loop. Returns whether
+        nothing is left to do."""
+        if self.loop.clock.now() >= self.open_at:
+            self._retry_open()
         if self.job_manager is not None and not self.job_manager.recovered:
-            self._recover()
+            self._recover_jobs()
             return False
-        return math.isinf(self.ask_at)
+        return math.isinf(self.open_at)
 
-    def _ask(self) -> None:
-        self.ask_at = self.loop.clock.now() + ASK_EVERY
+    def _retry_open(self) -> None:
+        self.open_at = self.loop.clock.now() + OPEN_RETRY_MS
         try:
-            self.open()
+            self.open_ledger()
         except LEDGER_ERRORS as error:
-            self.warn(f"durable jobs are turned down: durable.directory {self.options.folder}: {error}")
-            self.ask_at = self.loop.clock.now() + ASK_AFTER_FAILURE
+            self.log_warning(f"durable jobs are rejected: durable.directory {self.options.folder}: {error}")
+            self.open_at = self.loop.clock.now() + FAILED_OPEN_RETRY_MS
             return
         if self.job_manager is not None:
-            self.say("the ledger of durable jobs is ours")
+            self.log_info("the ledger of durable jobs is ours")
 
-    def _recover(self) -> None:
-        """Take the ledger's open jobs up, once the workers are known or have been waited for long enough."""
+    def _recover_jobs(self) -> None:
+        """Recover the ledger's open jobs once the workers are known or have been waited for long enough."""
         job_manager, now = self.job_manager, self.loop.clock.now()
-        if job_manager is None or not (self.core.listed or now > self.begun_at + LIST_WITHIN):
+        if job_manager is None or not (self.core.listed or now > self.started_at + WORKER_LIST_TIMEOUT_MS):
             return
         done = recover(job_manager, self.core, self.workers)
         if any(done.values()):
-            self.say("recovered jobs: " + ", ".join(f"{n} {step.value}" for step, n in done.items()))
+            self.log_info("recovered jobs: " + ", ".join(f"{n} {step.value}" for step, n in done.items()))
         self.workers.process_deferred_callbacks()
-        waiting, self.waiting = self.waiting, []
-        for request, edge in waiting:
-            self._join(request, edge)
+        waiting_clients, self.waiting_clients = self.waiting_clients, []
+        for request, client in waiting_clients:
+            self._join_job(request, client)
 
-    # -- clients that come with it
+    # -- clients that are transferred with it
 
-    def attach_client(self, request: Request, edge: ClientConnection) -> None:
-        """A client of its last owner waits for this job here from now on."""
-        edge.set_request(request)
-        edge.front.account_memory(edge)
+    def attach_client(self, request: Request, client: ClientConnection) -> None:
+        """Let a client of the ledger's last owner wait for its job here."""
+        client.set_request(request)
+        client.front.account_memory(client)
         if self.job_manager is not None and self.job_manager.recovered:
-            self._join(request, edge)
+            self._join_job(request, client)
         else:
-            self.waiting.append((request, edge))
-            self.core.deadlines.set(request.deadline, lambda: self._overdue(request, edge))
+            self.waiting_clients.append((request, client))
+            self.core.deadlines.set(request.deadline, lambda: self._fail_overdue(request, client))
 
-    def _overdue(self, request: Request, edge: ClientConnection) -> None:
-        if (request, edge) in self.waiting:
-            self.waiting.remove((request, edge))
-            edge.answer(request, FAILED)
+    def _fail_overdue(self, request: Request, client: ClientConnection) -> None:
+        if (request, client) in self.waiting_clients:
+            self.waiting_clients.remove((request, client))
+            client.answer(request, FAILED)
 
-    def _join(self, request: Request, edge: ClientConnection) -> None:
-        """By its name, as one who asks again."""
+    def _join_job(self, request: Request, client: ClientConnection) -> None:
+        """Attach a client to its job by the job's name, as if it had submitted the job again."""
         if request.ended:
-            return  # it has left
-        edge.set_request(None)
+            return  # the client has left
+        client.set_request(None)
         try:
-            joined = self.core.submit(request, edge)
-        except JobMismatchError:  # its own has been forgotten, and another has the name
-            edge.answer(request, FAILED)
+            joined = self.core.submit(request, client)
+        except JobMismatchError:  # its job has been forgotten, and another job has the name
+            client.answer(request, FAILED)
             return
         if not joined.ended:
-            edge.set_request(joined)
-            edge.front.account_memory(edge)
+            client.set_request(joined)
+            client.front.account_memory(client)
 
-    # -- giving it up
+    # -- releasing it
 
     def release(self) -> list[tuple[WaitingClient, ClientConnection]] | None:
-        """Give it up, where all its jobs can go on without this process: their workers have taken them and
-        will tell whoever has the address, their clients' connections can go, and nothing is on its way to the
-        disk. Returns those who wait for its jobs, for the next owner; None where it has to stay for now."""
-        self.core.decide()  # what has come in for them must not be lost
+        """Release the ledger if all its jobs can continue without this process.
+
+        That is so if their workers have accepted them and report to whoever serves the address, the
+        connections of their clients can be transferred, and no write to the disk is pending. Returns the
+        clients that wait for the jobs, for the next owner; None: the ledger cannot be released now.
+        """
+        self.core.decide()  # events already received for these jobs must not be lost
         job_manager = self.job_manager
         if (
             job_manager is None
@@ -163,40 +179,43 @@
             or not job_manager.is_idle()
         ):
             return None
-        requests = [f for f in self.core.requests.all() if f.job and not f.ended]
-        out = [s for f in requests for s in f.attempts if not s.ended]
-        clients = [(f, w) for f in requests for w in f.waiters]
-        if not all(s.endpoint.link.may_transfer(s) for s in out):
+        requests = [request for request in self.core.requests.all() if request.job and not request.ended]
+        attempts = [attempt for request in requests for attempt in request.attempts if not attempt.ended]
+        waiters = [(request, waiter) for request in requests for waiter in request.waiters]
+        if not all(attempt.endpoint.link.may_transfer(attempt) for attempt in attempts):
             return None
-        if not all(isinstance(w, ClientConnection) and w.is_transferable(f) for f, w in clients):
+        if not all(
+            isinstance(waiter, ClientConnection) and waiter.is_transferable(request)
+            for request, waiter in waiters
+        ):
             return None
-        waiting = []
+        transferred = []
         for request in requests:
-            for waits, waiter in transfer_durable_request(self.core, request):
+            for waiting_client, waiter in transfer_durable_request(self.core, request):
                 assert isinstance(waiter, ClientConnection)
-                waiting.append((waits, waiter))
+                transferred.append((waiting_client, waiter))
         self.loop.selector.unregister(job_manager.log)
         job_manager.close()
         self.job_manager, self.core.job_manager, self.released = None, Elsewhere(self.options), True
-        return waiting
+        return transferred
 
-    # -- the end
+    # -- status and end
 
     @property
     def is_ready(self) -> bool:
-        """Whether jobs that it holds have been taken up, where it is ours."""
+        """Whether the ledger's jobs have been recovered, or another process owns it."""
         return self.job_manager is None or self.job_manager.recovered
 
     def is_idle(self) -> bool:
-        """Whether nothing of the ledger is under way."""
-        return not self.waiting and (self.job_manager is None or self.job_manager.is_idle())
+        """Whether no job or client of the ledger is waiting for anything."""
+        return not self.waiting_clients and (self.job_manager is None or self.job_manager.is_idle())
 
     def push(self) -> None:
-        """Write what has been appended since the last turn."""
+        """Write what was appended to the ledger since the last turn."""
         if self.job_manager is not None:
             self.job_manager.log.push()
 
     def close(self) -> None:
-        """Give the ledger up."""
+        """Close the ledger, if it is ours."""
         if self.job_manager is not None:
             self.job_manager.close()
--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -1,5 +1,7 @@
-"""What a dispatcher does with the store: it follows the operators' orders for workers, says that it is there,
-and knows who else is."""
+"""What the dispatcher of a store member does with the store: it applies the operators' overrides and the
+shared configuration, claims its name, publishes that it is live, shares the workers with the other live
+dispatchers, and exchanges warm-start hints with them. Times in ms.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +11,7 @@
 import msgspec
 import orjson
 
-from eiderpin.core import learned as carried
+from eiderpin.core import learned as learned_state
 from eiderpin.core.dispatcher import Dispatcher
 from eiderpin.core.learned import Learned
 from eiderpin.fleet.comeback import RejoinProgress
@@ -22,250 +24,284 @@
 from eiderpin.store.raft import Refused
 from eiderpin.store.state import Answer, Compacted, Event, Grant, Keep, Operation, Put, Transaction
 
-LEASE = 5000.0  # ms after which a dispatcher that says nothing is no longer counted
-KEEP_EVERY = 1000.0
-BEGIN_EVERY = (50.0, 150.0)  # ms between tries of a start, drawn from these so that many do not ask in step
-WITHIN = 900.0
-HINTS_WITHIN = 10_000.0  # ms after our start in which hints of what others have learned are taken
-PUBLISH_HINT_INTERVAL_MS = 30_000.0  # ms between our own
-MOST_NAMED = 8  # dispatchers that one log line names
+LEASE_MS = 5000.0  # a dispatcher that does not renew its lease for this long is no longer counted as live
+HEARTBEAT_INTERVAL_MS = 1000.0
+START_INTERVAL_RANGE_MS = (50.0, 150.0)  # during a start; random, so that many dispatchers are not in step
+COMMAND_TIMEOUT_MS = 900.0
+ACCEPT_HINTS_MS = 10_000.0  # for this long after the start, hints from other dispatchers are accepted
+PUBLISH_HINT_INTERVAL_MS = 30_000.0
+MAX_LOGGED_NAMES = 8  # of dispatchers in one log line
 
 
 class SharedState:
-    """`about` tells what others may know of us; a change of it is told within `KEEP_EVERY`."""
+    """The shared state of the fleet, as seen and kept by one store member's dispatcher.
+
+    Args:
+        host: Runs the store's member.
+        core: The dispatcher.
+        name: The dispatcher's name.
+        describe: What other dispatchers may know of this one; a change of it is published within
+            `HEARTBEAT_INTERVAL_MS`.
+        apply_shared_config: Applies a shared configuration, see `FollowedDocuments`.
+        log_info, log_warning: Write log lines for operators.
+    """
 
     def __init__(
-        self, host: StoreHost, core: Dispatcher, name: str, about: Callable[[], dict[str, Any]],
-        take_shared: Callable[[bytes], list[str]], say: Callable[[str], None], warn: Callable[[str], None],
+        self, host: StoreHost, core: Dispatcher, name: str, describe: Callable[[], dict[str, Any]],
+        apply_shared_config: Callable[[bytes], list[str]],
+        log_info: Callable[[str], None], log_warning: Callable[[str], None],
     ) -> None:  # fmt: skip
-        """Follow the documents, and begin to claim our name."""
-        self.host, self.core, self.name, self.about, self.say, self.warn = host, core, name, about, say, warn
-        self.documents = FollowedDocuments(core, host.counters, take_shared, say, warn)
-        self.live = LiveDispatchers()
-        self.hint: tuple[float, Learned] | None = None  # the newest, until the workers are known
-        self.hints_until = core.clock.now() + HINTS_WITHIN
-        self.learn_at = core.clock.now() + PUBLISH_HINT_INTERVAL_MS
+        """Follow the documents, and start to claim the dispatcher's name."""
+        self.host, self.core, self.name, self.describe, self.log_info, self.log_warning = (
+            host, core, name, describe, log_info, log_warning
+        )  # fmt: skip
+        self.documents = FollowedDocuments(core, host.counters, apply_shared_config, log_info, log_warning)
+        self.live_dispatchers = LiveDispatchers()
+        self.pending_hint: tuple[float, Learned] | None = None  # newest hint, until the workers are known
+        self.hints_until = core.clock.now() + ACCEPT_HINTS_MS
+        self.publish_hint_at = core.clock.now() + PUBLISH_HINT_INTERVAL_MS
         token = f"{host.member.rng.getrandbits(64):016x}"
         self.incarnation = Incarnation(name, token, host.member.born.generation)
         self.on_fenced: Callable[[], None] = lambda: None
         self.rejoin = RejoinProgress(core.clock.now())
         self.has_worker_list: Callable[[], bool] = lambda: False
-        self.lease = 0
-        self.told: dict[str, Any] = {}
-        self.busy = False  # a command of ours is on its way
-        self.follow(self.incarnation.document, lambda rest, value: None if rest else self.named())
-        self.follow(WORKER_ORDERS, self.documents.take_order)
-        # `CURRENT` itself is what holds; what is named below it is nobody's.
-        self.follow(CURRENT, lambda rest, value: None if rest else self.documents.take_config(value))
-        self.follow(hints.PREFIX, self.hinted)
+        self.lease = 0  # id of our lease; 0: none
+        self.published: dict[str, Any] = {}  # our description as the store has it; empty: it has none
+        self.command_pending = False
+        self.follow(
+            self.incarnation.document_name, lambda suffix, value: None if suffix else self.update_claim()
+        )
+        self.follow(WORKER_ORDERS, self.documents.apply_override)
+        # Only `CURRENT` itself is the configuration in force; documents whose names extend it are ignored.
+        self.follow(CURRENT, lambda suffix, value: None if suffix else self.documents.apply_config(value))
+        self.follow(hints.PREFIX, self.receive_hint)
         if host.options.listen is not None:
-            self.follow(PRESENT, self.met)
-            self.follow(OBSERVERS, self.announced)
-        self.beat()
+            self.follow(PRESENT, self.update_member)
+            self.follow(OBSERVERS, self.update_observers)
+        self.run_heartbeat()
 
-    def follow(self, prefix: str, heard: Callable[[str, bytes | None], None]) -> None:
-        """Have `heard` called for each document there is and each change; begun anew where events were
-        forgotten."""
+    def follow(self, prefix: str, apply: Callable[[str, bytes | None], None]) -> None:
+        """Call `apply` for each document with this prefix, now and whenever it changes.
+
+        `apply` gets the rest of the document's name and its value (None: deleted). Where the events needed
+        have been compacted, all documents are read anew.
+        """
         store = self.host.member.store
         known = set()
         for document in store.range(prefix, "", 1 << 30):
             known.add(document.name)
-            heard(document.name.removeprefix(prefix), document.value)
+            apply(document.name.removeprefix(prefix), document.value)
 
-        def tell(events: list[Event] | None) -> None:
+        def on_events(events: list[Event] | None) -> None:
             if events is None:
                 now = {d.name for d in self.host.member.store.range(prefix, "", 1 << 30)}
                 for name in known - now:
-                    heard(name.removeprefix(prefix), None)
-                self.follow(prefix, heard)
+                    apply(name.removeprefix(prefix), None)
+                self.follow(prefix, apply)
                 return
             for event in events:
                 (known.discard if event.value is None else known.add)(event.name)
-                heard(event.name.removeprefix(prefix), event.value)
+                apply(event.name.removeprefix(prefix), event.value)
 
         try:
-            self.host.member.watch(prefix, store.revision, tell)
+            self.host.member.watch(prefix, store.revision, on_events)
         except (Compacted, Refused) as error:
-            self.warn(f"store: {prefix} is not followed: {error}")
+            self.log_warning(f"store: {prefix} is not followed: {error}")
 
-    # -- which life of ours this is
+    # -- claim of the name
 
     @property
     def is_fenced(self) -> bool:
-        """Whether another process has our name."""
+        """Whether another process holds our name."""
         return self.incarnation.claim_state is ClaimState.FENCED
 
-    def our_document(self) -> tuple[bytes | None, int]:
-        """What names the latest life by our name, and its revision, as our member has it."""
-        document = self.host.member.store.get(self.incarnation.document)
+    def read_claim_document(self) -> tuple[bytes | None, int]:
+        """Value and revision, at our member, of the document that identifies our name's latest incarnation;
+        (None, 0): there is none."""
+        document = self.host.member.store.get(self.incarnation.document_name)
         return (document.value, document.revision) if document is not None else (None, 0)
 
-    def named(self, refused: bool = False) -> None:
-        """The document of our name has changed, or our claim of it was `refused`."""
-        value, revision = self.our_document()
-        if self.incarnation.heard(value, revision, refused):
-            self.tell_fenced()
+    def update_claim(self, claim_refused: bool = False) -> None:
+        """Update the claim state after our name's document has changed or our claim of it was refused."""
+        value, revision = self.read_claim_document()
+        if self.incarnation.apply_document(value, revision, claim_refused):
+            self.report_fenced()
 
-    def tell_fenced(self) -> None:
-        """Say once that another process has our name."""
+    def report_fenced(self) -> None:
+        """Log, count and signal that another process holds our name."""
         self.host.counters.add("store.fenced")
-        self.warn(f"store: fenced: another process has begun as {self.name}; this one is to be ended")
+        self.log_warning(f"store: fenced: another process has begun as {self.name}; this one is to be ended")
         self.on_fenced()
 
-    def begin(self) -> None:
-        """Claim our incarnation."""
+    def claim_name(self) -> None:
+        """Do the next step of claiming our name: read its document, then write it."""
         member, now = self.host.member, self.core.clock.now()
 
-        def read(error: Exception | None) -> None:
-            self.busy = False
+        def on_read(error: Exception | None) -> None:
+            self.command_pending = False
             if error is None:
-                self.incarnation.read(self.our_document()[1])
-                self.step()
+                self.incarnation.record_initial_revision(self.read_claim_document()[1])
+                self.send_next_command()
 
-        def claimed(answer: Answer) -> None:
-            self.named(refused=not answer.ok)
+        def on_claimed(answer: Answer) -> None:
+            self.update_claim(claim_refused=not answer.ok)
             if self.incarnation.claim_state is ClaimState.HELD:
-                self.say(f"store: this is {self.name}/{self.incarnation}")
-                self.step()  # each step of a start follows the one before at once
+                self.log_info(f"store: this is {self.name}/{self.incarnation}")
+                self.send_next_command()  # during a start, each command follows the previous one at once
 
-        if self.incarnation.seen is None:
-            self.busy = True
-            member.read(read, now, WITHIN)
+        if self.incarnation.initial_revision is None:
+            self.command_pending = True
+            member.read(on_read, now, COMMAND_TIMEOUT_MS)
         else:
-            self.submit(self.incarnation.claim(), claimed)
+            self.submit(self.incarnation.build_claim(), on_claimed)
 
-    # -- what has been learned
+    # -- warm-start hints
 
-    def hinted(self, name: str, value: bytes | None) -> None:
-        """What others, or we in an earlier life, knew of the workers: better than guesses, for a start."""
+    def receive_hint(self, name: str, value: bytes | None) -> None:
+        """Keep a hint of what other dispatchers, or an earlier incarnation of this one, learned of the
+        workers. After a start it is better than default estimates."""
         now = self.core.clock.now()
         if value is None or now > self.hints_until:
             return
         try:
             learned = hints.read(value, now)
         except ValueError as error:
-            self.warn(f"store: {hints.PREFIX}{name}: {error}")
+            self.log_warning(f"store: {hints.PREFIX}{name}: {error}")
             return
         if learned is not None:
-            self.hint = now, learned
+            self.pending_hint = now, learned
 
-    def learn(self) -> None:
-        """Give a hint that has come to the decisions, and others what we have learned."""
+    def exchange_hints(self) -> None:
+        """Apply a hint received once the workers are known, and publish what this dispatcher has learned."""
         now = self.core.clock.now()
-        if self.hint is not None and self.core.listed:
-            self.core.apply_learned(self.hint[1])
-            self.hint = None
+        if self.pending_hint is not None and self.core.listed:
+            self.core.apply_learned(self.pending_hint[1])
+            self.pending_hint = None
             self.host.counters.add("store.hints")
-        if now < self.learn_at or self.busy or self.incarnation.claim_state is not ClaimState.HELD:
+        if (
+            now < self.publish_hint_at
+            or self.command_pending
+            or self.incarnation.claim_state is not ClaimState.HELD
+        ):
             return
-        self.learn_at = now + PUBLISH_HINT_INTERVAL_MS
-        value = hints.pack(carried.collect(self.core.module), now)
+        self.publish_hint_at = now + PUBLISH_HINT_INTERVAL_MS
+        value = hints.pack(learned_state.collect(self.core.module), now)
         if value is not None:
             put = Put(f"{hints.PREFIX}{self.name}", value)
-            self.submit(self.incarnation.guarded(Transaction([put])), lambda answer: None)
+            self.submit(self.incarnation.guard(Transaction([put])), lambda answer: None)
 
-    # -- who is there
+    # -- presence
 
-    def met(self, name: str, value: bytes | None) -> None:
-        """A dispatcher that is a member has come or gone."""
-        self.live.member(name, value is not None)
-        self.share()
+    def update_member(self, name: str, value: bytes | None) -> None:
+        """Note that a member's dispatcher has come or gone (`value` is None)."""
+        self.live_dispatchers.member(name, value is not None)
+        self.update_placement()
 
-    def announced(self, member: str, value: bytes | None) -> None:
-        """A member's observers have changed."""
+    def update_observers(self, member: str, value: bytes | None) -> None:
+        """Note that the observers which a member serves have changed."""
         try:
             entries = presence.read(value) if value is not None else None
         except msgspec.MsgspecError as error:
-            self.warn(f"store: {OBSERVERS}{member} is not followed: {error}")
+            self.log_warning(f"store: {OBSERVERS}{member} is not followed: {error}")
             return
-        self.live.announced(member, entries)
-        self.share()
+        self.live_dispatchers.announced(member, entries)
+        self.update_placement()
 
-    def share(self) -> None:
-        """Share the workers with all dispatchers that are live."""
-        place = self.live.place(self.name)
+    def update_placement(self) -> None:
+        """Share the workers with all live dispatchers."""
+        place = self.live_dispatchers.place(self.name)
         if place is None or not self.core.share(*place):
             return
-        names = self.live.names()
-        shown = ", ".join(names[:MOST_NAMED]) + (", ..." if len(names) > MOST_NAMED else "")
-        self.say(f"store: {len(names)} dispatchers share the workers: {shown}")
-
-    def beat(self) -> None:
-        """Hold our lease, and keep what is said of us true."""
-        wait = KEEP_EVERY if self.told or self.is_fenced else self.host.member.rng.uniform(*BEGIN_EVERY)
-        self.core.deadlines.set(self.core.clock.now() + wait, self.beat)
-        if self.host.replaced and self.incarnation.replaced():
-            self.tell_fenced()
-        self.learn()
-        self.step()
-
-    def step(self) -> None:
-        """The next thing that is to be said to the store."""
-        self.come_back()
-        if self.busy or self.host.member.failed or self.is_fenced:
+        names = self.live_dispatchers.names()
+        shown = ", ".join(names[:MAX_LOGGED_NAMES]) + (", ..." if len(names) > MAX_LOGGED_NAMES else "")
+        self.log_info(f"store: {len(names)} dispatchers share the workers: {shown}")
+
+    def run_heartbeat(self) -> None:
+        """Renew our lease and keep our published description current; schedules itself again."""
+        wait = (
+            HEARTBEAT_INTERVAL_MS
+            if self.published or self.is_fenced
+            else self.host.member.rng.uniform(*START_INTERVAL_RANGE_MS)
+        )
+        self.core.deadlines.set(self.core.clock.now() + wait, self.run_heartbeat)
+        if self.host.replaced and self.incarnation.mark_replaced():
+            self.report_fenced()
+        self.exchange_hints()
+        self.send_next_command()
+
+    def send_next_command(self) -> None:
+        """Send the next command that the store needs from us, unless one is pending already."""
+        self.record_progress()
+        if self.command_pending or self.host.member.failed or self.is_fenced:
             return
         if self.incarnation.claim_state is ClaimState.UNKNOWN:
-            self.begin()
+            self.claim_name()
             return
-        about = self.all_about()
+        description = self.build_description()
         if not self.lease:
-            self.submit(Grant(LEASE), self.granted)
-        elif about != self.told:
-            self.tell(about)
+            self.submit(Grant(LEASE_MS), self.on_lease_granted)
+        elif description != self.published:
+            self.publish(description)
         else:
-            self.submit(Keep(self.lease), self.kept)
+            self.submit(Keep(self.lease), self.on_lease_renewed)
 
     def stage(self) -> str:
         """How far our start has come."""
         return self.rejoin.stage(self.core.clock.now()).value
 
-    def come_back(self) -> None:
-        """Note how far our start has come, and tell of its end."""
-        now, caught_up = self.core.clock.now(), self.incarnation.seen is not None
-        if self.rejoin.note(now, self.has_worker_list(), caught_up, bool(self.told)):
-            took = self.rejoin.took()
-            for step, ms in took.items():
+    def record_progress(self) -> None:
+        """Record how far our start has come; log and count its steps when it is complete."""
+        now, caught_up = self.core.clock.now(), self.incarnation.initial_revision is not None
+        if self.rejoin.record(now, self.has_worker_list(), caught_up, bool(self.published)):
+            step_times = self.rejoin.step_times_ms()
+            for step, ms in step_times.items():
                 self.host.counters.add(f"comeback.{step}_ms", ms)
-            steps = ", ".join(f"{step} after {ms} ms" for step, ms in took.items())
-            self.say(f"store: {self.name}/{self.incarnation} is whole: {steps}")
-
-    def all_about(self) -> dict[str, Any]:
-        """What others are told of us."""
-        about = {**self.about(), "config": str(self.documents.config), "incarnation": str(self.incarnation)}
-        return about | {"stage": self.stage(), "took": self.rejoin.took()}
+            steps = ", ".join(f"{step} after {ms} ms" for step, ms in step_times.items())
+            self.log_info(f"store: {self.name}/{self.incarnation} is whole: {steps}")
+
+    def build_description(self) -> dict[str, Any]:
+        """What other dispatchers and operators are told about this one."""
+        description = {
+            **self.describe(),
+            "config": str(self.documents.applied_config),
+            "incarnation": str(self.incarnation),
+        }
+        return description | {"stage": self.stage(), "took": self.rejoin.step_times_ms()}
 
     def submit(self, op: Operation, done: Callable[[Answer], None]) -> None:
-        """Have one command of ours carried out; nothing follows where nobody knows its answer."""
+        """Submit one command to the store. `done` gets its answer, and is not called where none is known."""
 
-        def answered(answer: Answer | Exception) -> None:
-            self.busy = False
+        def on_answer(answer: Answer | Exception) -> None:
+            self.command_pending = False
             if isinstance(answer, Answer):
                 done(answer)
 
-        self.busy = True
+        self.command_pending = True
         member = self.host.member
-        member.submit("", member.rng.getrandbits(53), op, answered, self.core.clock.now(), WITHIN)
+        member.submit(
+            "", member.rng.getrandbits(53), op, on_answer, self.core.clock.now(), COMMAND_TIMEOUT_MS
+        )
 
-    def granted(self, answer: Answer) -> None:
-        """Our lease is there: say that we are live."""
+    def on_lease_granted(self, answer: Answer) -> None:
+        """Publish our description under the lease just granted."""
         if answer.lease:
             self.lease = answer.lease
-            self.tell(self.all_about())
+            self.publish(self.build_description())
 
-    def tell(self, about: dict[str, Any]) -> None:
-        """Put what others may know of us."""
+    def publish(self, description: dict[str, Any]) -> None:
+        """Write our description to the store."""
 
-        def done(answer: Answer) -> None:
+        def on_written(answer: Answer) -> None:
             if answer.error:
-                self.lease = 0  # it has ended while we were cut off
+                self.lease = 0  # it has expired while we were cut off
             elif answer.ok:
-                self.told = about
+                self.published = description
 
-        put = Put(f"{PRESENT}{self.name}", orjson.dumps(about), self.lease)
+        put = Put(f"{PRESENT}{self.name}", orjson.dumps(description), self.lease)
         if not self.is_fenced:
-            self.submit(self.incarnation.guarded(Transaction([put])), done)
+            self.submit(self.incarnation.guard(Transaction([put])), on_written)
 
-    def kept(self, answer: Answer) -> None:
-        """Our lease was renewed, or has ended."""
+    def on_lease_renewed(self, answer: Answer) -> None:
+        """Start over with a new lease if ours has expired."""
         if answer.error:
-            self.lease, self.told = 0, {}
+            self.lease, self.published = 0, {}
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -1,4 +1,4 @@
-"""The stages of a start: the rules, and real processes that all come back at once, or without the others."""
+"""Stages of a start: the rules, and real processes that restart all at once or without the others."""
 
 from __future__ import annotations
 
@@ -9,104 +9,126 @@
 import pytest
 
 from benchmarks.store_rig import Cluster
-from eiderpin.fleet.comeback import ALONE, RejoinProgress, Stage
+from eiderpin.fleet.comeback import STORE_WAIT_MS, RejoinProgress, Stage
 from tests.standins import HttpWorker, wait_for
 from tests.test_command import eiderpin
-from tests.test_incarnation import door, list_worker
+from tests.test_incarnation import call_management, set_worker_list
 
 
 @pytest.mark.parametrize(
-    ("listed", "caught_up", "known", "stage", "share"),
+    ("listed", "caught_up", "known", "stage", "percent"),
     [
         (False, False, False, Stage.BLANK, 25),
-        (False, True, True, Stage.BLANK, 25),  # workers of a former life are no ground for more
+        (False, True, True, Stage.BLANK, 25),  # workers of an earlier incarnation are no reason for more
         (True, False, False, Stage.LISTED, 50),
         (True, True, False, Stage.CAUGHT_UP, 75),
         (True, True, True, Stage.WHOLE, 100),
     ],
 )
-def test_what_is_known_says_what_is_asked_for(
-    listed: bool, caught_up: bool, known: bool, stage: Stage, share: int
+def test_completed_steps_determine_stage_and_traffic_share(
+    listed: bool, caught_up: bool, known: bool, stage: Stage, percent: int
 ) -> None:
-    start = RejoinProgress(1000.0)
-    assert start.note(1100.0, listed, caught_up, known) is (stage is Stage.WHOLE)
-    assert (start.stage(1100.0), start.traffic_percent(1100.0)) == (stage, share)
-
-
-def test_serving_does_not_wait_for_the_store_for_ever() -> None:
-    start = RejoinProgress(1000.0)
-    start.note(1100.0, True, False, False)
-    assert start.stage(999.0 + ALONE) is Stage.LISTED
-    assert (start.stage(1000.0 + ALONE), start.traffic_percent(1000.0 + ALONE)) == (Stage.ALONE, 100)
-    assert start.age("caught_up", 1000.0 + ALONE) == float("inf")  # its orders are of any age
-    assert start.note(20_000.0, True, True, True)  # it comes in late
-
-
-def test_each_step_counts_from_its_first_time_and_the_end_is_told_once() -> None:
-    start = RejoinProgress(1000.0)
-    start.note(1100.0, True, False, False)
-    start.note(1300.0, True, True, False)
-    assert start.note(1400.0, True, True, True) and not start.note(1500.0, True, True, True)
-    assert start.took() == {"listed": 100, "caught_up": 300, "known": 400}
-    assert start.age("listed", 1500.0) == 400.0
-
-
-def test_all_three_come_back_at_once_each_as_a_new_life() -> None:
+    """A dispatcher must not ask for more traffic than what it knows after its start justifies."""
+    progress = RejoinProgress(1000.0)
+    assert progress.record(1100.0, listed, caught_up, known) is (stage is Stage.WHOLE)
+    assert (progress.stage(1100.0), progress.traffic_percent(1100.0)) == (stage, percent)
+
+
+def test_full_traffic_is_served_when_the_store_stays_unreachable() -> None:
+    """A dispatcher whose store has lost its quorum must not ask for less traffic for ever. When the store can
+    be reached again, the start must still be able to complete."""
+    progress = RejoinProgress(1000.0)
+    progress.record(1100.0, True, False, False)
+    assert progress.stage(999.0 + STORE_WAIT_MS) is Stage.LISTED
+    assert (progress.stage(1000.0 + STORE_WAIT_MS), progress.traffic_percent(1000.0 + STORE_WAIT_MS)) == (
+        Stage.ALONE,
+        100,
+    )
+    # The overrides on the member's disk may be of any age.
+    assert progress.max_age_ms("caught_up", 1000.0 + STORE_WAIT_MS) == float("inf")
+    assert progress.record(20_000.0, True, True, True)  # the store is reached late
+
+
+def test_step_times_are_of_the_first_time_and_completion_is_reported_once() -> None:
+    """Steps are recorded again with each heartbeat. That must neither move their times nor log the completion
+    of the start more than once."""
+    progress = RejoinProgress(1000.0)
+    progress.record(1100.0, True, False, False)
+    progress.record(1300.0, True, True, False)
+    assert progress.record(1400.0, True, True, True) and not progress.record(1500.0, True, True, True)
+    assert progress.step_times_ms() == {"listed": 100, "caught_up": 300, "known": 400}
+    assert progress.max_age_ms("listed", 1500.0) == 400.0
+
+
+def test_three_members_restarted_at_once_each_get_a_new_incarnation() -> None:
+    """After a power failure all members start together. Each must claim its name anew, complete its start and
+    be ready for full traffic, although none of them finds a running store."""
     worker = HttpWorker("w1")
     with tempfile.TemporaryDirectory() as folder:
-        it = Cluster(Path(folder), 3)
+        cluster = Cluster(Path(folder), 3)
         try:
-            for process in it.all.values():
-                list_worker(process.folder / "config.json", worker)
-            it.start()
-            wait_for(lambda: all(whole(p.log()) for p in it.all.values()), "all three to be whole")
-            for process in it.all.values():
+            for process in cluster.all.values():
+                set_worker_list(process.folder / "config.json", worker)
+            cluster.start()
+            wait_for(
+                lambda: all(completed_starts(p.log()) for p in cluster.all.values()),
+                "all three starts to complete",
+            )
+            for process in cluster.all.values():
                 process.kill()
-            for process in it.all.values():
+            for process in cluster.all.values():
                 process.start()
-            wait_for(lambda: all(len(whole(p.log())) == 2 for p in it.all.values()), "all to be back")
-            lives = [life for p in it.all.values() for life in whole(p.log())]
-            assert len(set(lives)) == 6
-            shown = eiderpin("dispatchers", "--door", it.all["m0"].door).stdout.splitlines()
-            for name, process in it.all.items():
-                assert door(process.door, "ready").startswith("ok up 100%")
-                (line,) = [row for row in shown if row.startswith(name)]
-                assert whole(process.log())[-1].rpartition("/")[2] in line and "known" in line
-            assert not [p.log() for p in it.all.values() if "Traceback" in p.log()]
+            wait_for(
+                lambda: all(len(completed_starts(p.log())) == 2 for p in cluster.all.values()),
+                "all three to start again",
+            )
+            incarnations = [name for p in cluster.all.values() for name in completed_starts(p.log())]
+            assert len(set(incarnations)) == 6
+            rows = eiderpin("dispatchers", "--door", cluster.all["m0"].door).stdout.splitlines()
+            for name, process in cluster.all.items():
+                assert call_management(process.door, "ready").startswith("ok up 100%")
+                (line,) = [row for row in rows if row.startswith(name)]
+                assert completed_starts(process.log())[-1].rpartition("/")[2] in line and "known" in line
+            assert not [p.log() for p in cluster.all.values() if "Traceback" in p.log()]
         finally:
-            it.stop()
+            cluster.stop()
             worker.stop()
 
 
-def test_one_that_comes_back_without_the_others_says_so_and_serves() -> None:
+def test_a_member_restarted_without_quorum_reports_its_stage_and_serves() -> None:
+    """A member that starts while the others are down cannot reach the store. It must say so in its readiness,
+    serve all the same, and complete its start once there is a quorum."""
     worker = HttpWorker("w1")
     with tempfile.TemporaryDirectory() as folder:
-        it = Cluster(Path(folder), 3)
+        cluster = Cluster(Path(folder), 3)
         try:
-            list_worker(it.all["m0"].folder / "config.json", worker)
-            it.start()
-            wait_for(lambda: whole(it.all["m0"].log()), "it to be whole")
-            for process in it.all.values():
+            set_worker_list(cluster.all["m0"].folder / "config.json", worker)
+            cluster.start()
+            wait_for(lambda: completed_starts(cluster.all["m0"].log()), "the start to complete")
+            for process in cluster.all.values():
                 process.kill()
-            it.all["m0"].start("from eiderpin.fleet import comeback\ncomeback.ALONE = 1500.0")
-            said = wait_for(lambda: ready(it.all["m0"].door), "it to answer")
-            assert re.match(r"ok up (25|50)%.*coming back: (blank|listed)", said), said
-            wait_for(lambda: "alone" in ready(it.all["m0"].door), "it to go on alone")
-            assert ready(it.all["m0"].door).startswith("ok up 100%")
-            it.all["m1"].start()
-            wait_for(lambda: len(whole(it.all["m0"].log())) == 2, "the store to be caught up with")
+            cluster.all["m0"].start("from eiderpin.fleet import comeback\ncomeback.STORE_WAIT_MS = 1500.0")
+            answer = wait_for(lambda: read_readiness(cluster.all["m0"].door), "an answer to `ready`")
+            assert re.match(r"ok up (25|50)%.*coming back: (blank|listed)", answer), answer
+            wait_for(lambda: "alone" in read_readiness(cluster.all["m0"].door), "the stage alone")
+            assert read_readiness(cluster.all["m0"].door).startswith("ok up 100%")
+            cluster.all["m1"].start()
+            wait_for(
+                lambda: len(completed_starts(cluster.all["m0"].log())) == 2, "the second start to complete"
+            )
         finally:
-            it.stop()
+            cluster.stop()
             worker.stop()
 
 
-def whole(log: str) -> list[str]:
-    """The lives, NAME/INCARNATION, that have told of the end of their start."""
+def completed_starts(log: str) -> list[str]:
+    """The incarnations, NAME/INCARNATION, that have logged the end of their start."""
     return re.findall(r"store: (\S+/\S+) is whole: listed after \d+ ms, caught_up after \d+ ms", log)
 
 
-def ready(address: str) -> str:
+def read_readiness(address: str) -> str:
+    """The answer to the operators' `ready`; empty while the process does not listen."""
     try:
-        return door(address, "ready").strip()
+        return call_management(address, "ready").strip()
     except OSError:
         return ""
