--- a/eiderpin/fleet/comeback.py
+++ b/eiderpin/fleet/comeback.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-STORE_WAIT_MS = 10_000.0  # with a worker list, a start asks for less for at most this long without the store
+STORE_WAIT_MS = 10_000.0  # without the store, a start with a worker list asks for less at most this long
 STEPS = ("listed", "caught_up", "known")  # the steps of a start, see `RejoinProgress.record`
 
 
--- a/eiderpin/fleet/incarnation.py
+++ b/eiderpin/fleet/incarnation.py
@@ -5,8 +5,8 @@
 written it in between. The revision at which that write commits, together with the store's generation, is the
 process's incarnation; no other process ever has the same one. Every later write of the process is conditional
 on that document being unchanged. A process that was frozen or cut off while a successor started under its
-name therefore learns of it with its next write at the latest, and that write has no effect: it is fenced, for
-good.
+name therefore learns of it with its next write at the latest. That write has no effect, and the process
+writes nothing more: it is fenced, for good.
 """
 
 from __future__ import annotations
@@ -41,9 +41,7 @@
         """Start in state UNKNOWN; `record_initial_revision` and `build_claim` come next."""
         self.name, self.token, self.generation = name, token, generation
         self.claim_state = ClaimState.UNKNOWN
-        self.revision = (
-            0  # of the document as this process wrote it; 0: its claim is not known to be committed
-        )
+        self.revision = 0  # of the document as our claim wrote it; 0: not known to be committed
         self.initial_revision: int | None = None  # of the document before our claim; None: not read yet
 
     def __str__(self) -> str:
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -128,7 +128,7 @@
         try:
             return msgspec.msgpack.decode(document.value, type=Claim) if document is not None else None
         except msgspec.MsgspecError:
-            return Claim("", b"")  # unreadable: claimed by nobody that is known
+            return Claim("", b"")  # unreadable: the claimant is unknown
 
     def is_own_claim(self, request: Request) -> bool:
         """Whether this process has claimed the job, and the job has no outcome."""
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -61,8 +61,8 @@
 
 
 def test_three_members_restarted_at_once_each_get_a_new_incarnation() -> None:
-    """After a power failure all members start together. Each must claim its name anew, complete its start and
-    be ready for full traffic, although none of them finds a running store."""
+    """When all members are killed and restarted together, none of them finds a running store. Each must claim
+    its name anew, complete its start and be ready for full traffic."""
     worker = HttpWorker("w1")
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(Path(folder), 3)
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -1,4 +1,5 @@
-"""Dispatchers that follow the store, as real processes on loopback, with faults between them."""
+"""Dispatchers that follow the store as observers: real processes on loopback, with faults of members and
+observers."""
 
 from __future__ import annotations
 
@@ -30,9 +31,9 @@
 from tests.test_command import eiderpin
 from tests.test_upgrade import TOOK, said, side
 
-LONG = 60.0  # s; what may take several time-outs, on a machine that does other things as well
-WORKER_ORDER = "orders/workers/w1"
-NOT_FOR_OBSERVERS = (
+LONG_WAIT_SECONDS = 60.0  # for what may take several time-outs on a busy machine
+OVERRIDE_DOCUMENT = "orders/workers/w1"
+MEMBER_MODULES = (
     "eiderpin.store.raft",
     "eiderpin.store.member",
     "eiderpin.store.host",
@@ -40,54 +41,57 @@
     "eiderpin.store.observer_server",
     "eiderpin.durable",
 )
-NOT_WITHOUT_FOLLOW = ("eiderpin.fleet", "eiderpin.parts", "eiderpin.store", "msgspec")
-TELL_MODULES = """
+STORE_MODULES = ("eiderpin.fleet", "eiderpin.parts", "eiderpin.store", "msgspec")
+RECORD_MODULES = """
 import atexit, sys
 atexit.register(lambda: open({path!r}, "w").write("\\n".join(sorted(sys.modules))))
 """
 
 
 class Fleet:
-    """Members that serve observers, and dispatchers that follow them."""
+    """Members that serve observers, and the observers."""
 
     def __init__(self, folder: Path, members: int, limit: int) -> None:
         self.cluster = Cluster(folder, members, limit)
         self.folder = folder
         self.observers: dict[str, Process] = {}
 
-    def follow(self, name: str, region: str = "", prelude: str = "", **said: Any) -> Process:
-        process = self.cluster.observer(name, region=region, **said)
+    def start_observer(self, name: str, region: str = "", prelude: str = "", **options: Any) -> Process:
+        """Start a dispatcher that follows the store. `prelude`: code that runs before the program."""
+        process = self.cluster.observer(name, region=region, **options)
         process.start(prelude)
         self.observers[name] = process
         return process
 
-    def at(self, process: Process) -> str:
-        """The member that an observer is served by; empty: by none just now."""
+    def serving_member(self, process: Process) -> str:
+        """The member that serves an observer; empty: none at present."""
         return str(self.status(process).get("member", ""))
 
     def status(self, process: Process) -> dict[str, Any]:
+        """An observer's status; empty while it does not answer."""
         try:
             return dict(process.status()["observer"])
         except Failed:
             return {}
 
     def await_known(self, process: Process) -> None:
-        """Wait until all others know of an observer."""
+        """Wait until all other dispatchers know of an observer."""
         wait_for(lambda: self.status(process).get("standing") == "known", "an observer to be known")
 
-    def put_order(self, slots: float) -> None:
+    def set_override(self, slots: float) -> None:
+        """Override the slots of a worker, as operators do."""
         store = self.cluster.store_client(20.0)
-        store.put(WORKER_ORDER, Order(slots=slots).pack())
+        store.put(OVERRIDE_DOCUMENT, Order(slots=slots).pack())
         store.close()
 
-    def applied(self, slots: float) -> bool:
-        """Whether every dispatcher says in its log that it follows the order."""
+    def is_override_applied(self, slots: float) -> bool:
+        """Whether every observer has logged that it applies the override."""
         return all(f"slots={slots}" in p.log() for p in self.observers.values())
 
     def announced(self) -> dict[str, str]:
-        """Who is announced, and by which member."""
+        """The announced observers, each with the member that announces it."""
         live = live_observers(documents(self.cluster.store_client(10.0), OBSERVERS), OBSERVERS)
-        return {name: one.member for name, one in live.items()}
+        return {name: observer.member for name, observer in live.items()}
 
     def stop(self) -> None:
         for process in self.observers.values():
@@ -97,38 +101,40 @@
 
 
 @contextmanager
-def fleet(*names: str, members: int = 3, limit: int = 100) -> Iterator[Fleet]:
+def running_fleet(*names: str, members: int = 3, limit: int = 100) -> Iterator[Fleet]:
+    """A fleet with these observers, known to all. At the end, no log may contain a traceback or a violated
+    invariant."""
     with tempfile.TemporaryDirectory() as folder:
-        it = Fleet(Path(folder), members, limit)
+        fleet = Fleet(Path(folder), members, limit)
         try:
-            it.cluster.start()
+            fleet.cluster.start()
             for name in names:
-                it.follow(name)
-            for process in it.observers.values():
-                it.await_known(process)
-            yield it
-            every = [*it.cluster.all.values(), *it.observers.values()]
-            faults = [p.log() for p in every if "Traceback" in p.log() or "invariant" in p.log()]
-            assert not faults, faults
+                fleet.start_observer(name)
+            for process in fleet.observers.values():
+                fleet.await_known(process)
+            yield fleet
+            processes = [*fleet.cluster.all.values(), *fleet.observers.values()]
+            faulty_logs = [p.log() for p in processes if "Traceback" in p.log() or "invariant" in p.log()]
+            assert not faulty_logs, faulty_logs
         finally:
-            it.stop()
+            fleet.stop()
 
 
-def ask(process: Process, call: str) -> str:
-    """One call at a dispatcher's management address."""
-    return ask_at(process.door, call)
+def call_dispatcher(process: Process, call: str) -> str:
+    """The first line that a dispatcher's management API answers."""
+    return call_management(process.door, call)
 
 
-def ask_at(where: str, call: str) -> str:
-    """One call at a management address."""
+def call_management(where: str, call: str) -> str:
+    """The first line that the management API at an address answers."""
     with socket.create_connection(address(where, "door"), 5.0) as sock:
         sock.sendall(call.encode() + b"\n")
         with sock.makefile() as file:
             return file.readline().strip()
 
 
-def counters(process: Process) -> dict[str, int]:
-    """The counters, printed by SIGUSR1."""
+def read_counters(process: Process) -> dict[str, int]:
+    """A dispatcher's counters, which it prints on SIGUSR1."""
     assert process.process is not None
     before = process.log().count("end of counters")
     process.process.send_signal(signal.SIGUSR1)
@@ -138,65 +144,80 @@
 
 
 class Following(unittest.TestCase):
-    def test_orders_configuration_and_places_reach_those_that_follow(self) -> None:
-        with fleet("d1", "d2") as it:
-            it.put_order(3.0)
-            wait_for(lambda: it.applied(3.0), "the order to be followed")
-            wait_for(lambda: all("of 5" in p.log() for p in it.observers.values()), "all five to be counted")
-            store = it.cluster.store_client(20.0)
-            said = json.loads((it.observers["d1"].folder / "config.json").read_text())
-            text = json.dumps({"settings": said["settings"], "workers": []}).encode()
+    def test_overrides_configuration_and_placement_reach_observers(self) -> None:
+        """Observers must apply what operators change and be counted among the dispatchers, and the commands
+        must show how far a change has come. Otherwise part of the fleet runs on old settings unnoticed."""
+        with running_fleet("d1", "d2") as fleet:
+            fleet.set_override(3.0)
+            wait_for(lambda: fleet.is_override_applied(3.0), "the override to be applied")
+            wait_for(
+                lambda: all("of 5" in p.log() for p in fleet.observers.values()),
+                "all five dispatchers to be counted",
+            )
+            store = fleet.cluster.store_client(20.0)
+            config = json.loads((fleet.observers["d1"].folder / "config.json").read_text())
+            text = json.dumps({"settings": config["settings"], "workers": []}).encode()
             self.assertEqual(install(store, text), 1)
-            wait_for(lambda: all("version 1 taken" in p.log() for p in it.observers.values()), "version 1")
+            wait_for(
+                lambda: all("version 1 taken" in p.log() for p in fleet.observers.values()),
+                "version 1 to be applied",
+            )
 
-            def shown() -> str:
-                done = eiderpin("config", "show", "--door", it.cluster.all["m0"].door)
-                return done.stderr
+            def shown_config() -> str:
+                completed = eiderpin("config", "show", "--door", fleet.cluster.all["m0"].door)
+                return completed.stderr
 
-            wait_for(lambda: "in force at 5 of 5 dispatchers, everywhere after" in shown(), "it to be known")
-            status = eiderpin("store", "status", "--door", it.observers["d1"].door).stdout
+            wait_for(
+                lambda: "in force at 5 of 5 dispatchers, everywhere after" in shown_config(),
+                "version 1 to be in force",
+            )
+            status = eiderpin("store", "status", "--door", fleet.observers["d1"].door).stdout
             self.assertRegex(status, r"(?m)^standing +known$")
-            refused = eiderpin("store", "members", "--door", it.observers["d1"].door)
+            refused = eiderpin("store", "members", "--door", fleet.observers["d1"].door)
             self.assertEqual((refused.returncode, "no member" in refused.stderr), (3, True))
-            listed = eiderpin("dispatchers", "--door", it.cluster.all["m1"].door).stdout
+            listed = eiderpin("dispatchers", "--door", fleet.cluster.all["m1"].door).stdout
             self.assertEqual(
                 [line.split()[0] for line in listed.splitlines()], ["m0", "m1", "m2", "d1", "d2"]
             )
             self.assertEqual(listed.count("observer of m"), 2)
-            worse = dict(said["settings"], tick=7.0)
-            install(store, json.dumps({"settings": worse, "workers": []}).encode())
+            changed_settings = dict(config["settings"], tick=7.0)
+            install(store, json.dumps({"settings": changed_settings, "workers": []}).encode())
             lagging = "d1: version 2, restart needed: settings"
-            wait_for(lambda: lagging in shown(), "the restart to be asked for")
-            self.assertIn("in force at 0 of 5 dispatchers\n", shown())
+            wait_for(lambda: lagging in shown_config(), "the needed restart to be shown")
+            self.assertIn("in force at 0 of 5 dispatchers\n", shown_config())
             store.close()
 
-    def test_one_that_follows_has_neither_disk_nor_consensus(self) -> None:
-        with fleet(members=1) as it:
-            path = it.folder / "modules"
-            process = it.follow("d1", prelude=TELL_MODULES.format(path=str(path)))
-            wait_for(lambda: it.status(process).get("standing") == "known", "it to be known")
+    def test_an_observer_writes_no_files_and_loads_no_consensus_code(self) -> None:
+        """An observer is to work without a disk or a vote. An import or a file too many would go unnoticed,
+        as it would run all the same."""
+        with running_fleet(members=1) as fleet:
+            path = fleet.folder / "modules"
+            process = fleet.start_observer("d1", prelude=RECORD_MODULES.format(path=str(path)))
+            wait_for(lambda: fleet.status(process).get("standing") == "known", "the observer to be known")
             files = sorted(p.name for p in process.folder.iterdir())
             self.assertEqual(files, ["config.json", "parts.json", "stderr"])
             process.kill(signal.SIGTERM)
             loaded = path.read_text().splitlines()
-            self.assertEqual([m for m in loaded if m.startswith(NOT_FOR_OBSERVERS)], [])
-            wait_for(lambda: it.announced() == {}, "its planned end to be known")
+            self.assertEqual([m for m in loaded if m.startswith(MEMBER_MODULES)], [])
+            wait_for(lambda: fleet.announced() == {}, "the planned end to be announced")
 
-    def test_without_follow_nothing_of_it_is_loaded(self) -> None:
+    def test_without_store_settings_none_of_the_store_is_loaded(self) -> None:
+        """A dispatcher without a store must start where the optional packages are not installed."""
         with tempfile.TemporaryDirectory() as folder:
             process = Process(Path(folder), "alone", {}, "")
             process.parts = {}
             path = Path(folder) / "modules"
-            process.start(TELL_MODULES.format(path=str(path)))
-            wait_for(lambda: "listens" in process.log(), "it to listen")
+            process.start(RECORD_MODULES.format(path=str(path)))
+            wait_for(lambda: "listens" in process.log(), "the dispatcher to listen")
             process.kill(signal.SIGTERM)
             loaded = path.read_text().splitlines()
-            self.assertEqual([m for m in loaded if m.startswith(NOT_WITHOUT_FOLLOW)], [])
+            self.assertEqual([m for m in loaded if m.startswith(STORE_MODULES)], [])
 
-    def test_what_cannot_be_had_is_one_line_and_exit_2(self) -> None:
+    def test_wrong_store_settings_give_one_line_and_exit_status_2(self) -> None:
+        """Operators must get one line that names the wrong setting, and no traceback."""
         with tempfile.TemporaryDirectory() as folder:
             process = Process(Path(folder), "d1", {}, "")
-            for said, why in (
+            for settings, error in (
                 ({"follow": {}}, "an object of members"),
                 ({"follow": {"m0": "nowhere"}}, "HOST:PORT is expected"),
                 ({"follow": {"m0": "h:1"}, "directory": "/x"}, "has no place beside store.follow"),
@@ -204,157 +225,198 @@
                 ({"directory": folder, "observers": {"listen": "h:1", "limit": 0}}, "1 to 10000"),
                 ({"directory": folder, "observers": {"port": 1}}, "there is no such setting"),
             ):
-                process.parts["store"] = said
+                process.parts["store"] = settings
                 process.errors.unlink(missing_ok=True)
                 process.start()
                 assert process.process is not None
-                self.assertEqual(process.process.wait(20), 2, said)
-                self.assertIn(why, process.log())
+                self.assertEqual(process.process.wait(20), 2, settings)
+                self.assertIn(error, process.log())
                 self.assertEqual(len(process.log().splitlines()), 1)
 
 
 class Faults(unittest.TestCase):
-    def test_observers_of_a_member_that_dies_go_to_another_and_stay_present(self) -> None:
-        with fleet("d1", "d2", "d3") as it:
-            victim = it.at(it.observers["d1"])
-            seen: list[set[str]] = []
-            it.cluster.all[victim].kill()
-            begun = time.monotonic()
-            it.put_order(4.0)
-            wait_for(lambda: it.applied(4.0), "the order to be followed")
-            while time.monotonic() < begun + 12.0:  # past the lease of the dead member's announcement
-                seen.append(set(it.announced()))
+    def test_observers_of_a_killed_member_change_to_another_and_stay_announced(self) -> None:
+        """When a member dies, another one must announce its observers before its own announcement expires. A
+        gap would change the placement of all dispatchers."""
+        with running_fleet("d1", "d2", "d3") as fleet:
+            victim = fleet.serving_member(fleet.observers["d1"])
+            announced: list[set[str]] = []
+            fleet.cluster.all[victim].kill()
+            killed_at = time.monotonic()
+            fleet.set_override(4.0)
+            wait_for(lambda: fleet.is_override_applied(4.0), "the override to be applied")
+            while time.monotonic() < killed_at + 12.0:  # past the lease of the dead member's announcement
+                announced.append(set(fleet.announced()))
                 time.sleep(0.2)
-            self.assertEqual(set(map(frozenset, seen)), {frozenset({"d1", "d2", "d3"})})
-            self.assertNotIn(victim, it.announced().values())
-
-    def test_a_frozen_member_is_left_for_another_and_taken_again_later(self) -> None:
-        with fleet("d1", "d2", "d3") as it:
-            victim = it.at(it.observers["d1"])
-            process = it.cluster.all[victim].process
+            self.assertEqual(set(map(frozenset, announced)), {frozenset({"d1", "d2", "d3"})})
+            self.assertNotIn(victim, fleet.announced().values())
+
+    def test_observers_leave_a_frozen_member_and_it_can_serve_again_later(self) -> None:
+        """A member stopped by SIGSTOP keeps its connections open but sends nothing. Its observers must notice
+        the silence and change members, and its return must not lose any of them."""
+        with running_fleet("d1", "d2", "d3") as fleet:
+            victim = fleet.serving_member(fleet.observers["d1"])
+            process = fleet.cluster.all[victim].process
             assert process is not None
             process.send_signal(signal.SIGSTOP)
             try:
-                it.put_order(4.0)
-                wait_for(lambda: it.applied(4.0), "the order to be followed")
+                fleet.set_override(4.0)
+                wait_for(lambda: fleet.is_override_applied(4.0), "the override to be applied")
             finally:
                 process.send_signal(signal.SIGCONT)
-            it.put_order(5.0)
-            wait_for(lambda: it.applied(5.0), "the next order to be followed")
-            wait_for(lambda: set(it.announced()) == {"d1", "d2", "d3"}, "all three to be present")
-
-    def test_one_that_is_cut_off_serves_on_and_says_how_old_it_is(self) -> None:
-        with fleet("d1", members=1) as it:
-            it.put_order(3.0)
-            wait_for(lambda: it.applied(3.0), "the order to be followed")
-            process = it.observers["d1"]
-            self.assertNotIn("control plane", ask(process, "ready"))
-            it.cluster.all["m0"].kill()
-            wait_for(lambda: "control plane" in ask(process, "ready"), "its age to be told", LONG)
-            self.assertRegex(ask(process, "ready"), r"control plane \d+ s old")
+            fleet.set_override(5.0)
+            wait_for(lambda: fleet.is_override_applied(5.0), "the next override to be applied")
+            wait_for(lambda: set(fleet.announced()) == {"d1", "d2", "d3"}, "all three to be announced")
+
+    def test_an_observer_that_is_cut_off_keeps_serving_and_shows_the_age_of_its_copy(self) -> None:
+        """Without any member an observer must keep its copy. Its readiness, health and counters must show how
+        old the copy is, or operators would take old settings for current ones."""
+        with running_fleet("d1", members=1) as fleet:
+            fleet.set_override(3.0)
+            wait_for(lambda: fleet.is_override_applied(3.0), "the override to be applied")
+            process = fleet.observers["d1"]
+            self.assertNotIn("control plane", call_dispatcher(process, "ready"))
+            fleet.cluster.all["m0"].kill()
+            wait_for(
+                lambda: "control plane" in call_dispatcher(process, "ready"),
+                "the age to be shown",
+                LONG_WAIT_SECONDS,
+            )
+            self.assertRegex(call_dispatcher(process, "ready"), r"control plane \d+ s old")
             _, body, _ = http_call(f"127.0.0.1:{process.edge}", "GET", "/_health")
             self.assertRegex(body.decode(), r"control plane \d+ s old")
-            self.assertGreater(counters(process)["observer.age_ms"], 6000)
-            self.assertEqual(it.status(process)["documents"], 1)
-            it.cluster.all["m0"].start()
-            wait_for(lambda: "control plane" not in ask(process, "ready"), "it to be up to date", LONG)
-
-    def test_of_two_with_one_name_the_later_one_has_it(self) -> None:
-        with fleet("d1") as it:
-            first = it.observers["d1"]
-            other = it.folder / "elsewhere"
-            other.mkdir()
-            second = it.cluster.observer("d1", other)
+            self.assertGreater(read_counters(process)["observer.age_ms"], 6000)
+            self.assertEqual(fleet.status(process)["documents"], 1)
+            fleet.cluster.all["m0"].start()
+            wait_for(
+                lambda: "control plane" not in call_dispatcher(process, "ready"),
+                "the copy to be up to date",
+                LONG_WAIT_SECONDS,
+            )
+
+    def test_the_later_of_two_observers_with_one_name_fences_the_earlier(self) -> None:
+        """Two processes may be started under one name by mistake. The earlier one must be fenced for good,
+        and the later one must keep the name after the contest."""
+        with running_fleet("d1") as fleet:
+            first = fleet.observers["d1"]
+            folder = fleet.folder / "elsewhere"
+            folder.mkdir()
+            second = fleet.cluster.observer("d1", folder)
             second.start()
-            it.observers["d1 again"] = second
-            wait_for(lambda: it.status(first).get("standing") == "fenced", "the first to be fenced", LONG)
-            self.assertIn("fenced", ask(first, "ready"))
-            self.assertTrue(ask(first, "ready").startswith("fail drain"))
-            wait_for(lambda: it.status(second).get("standing") == "known", "the second to be known")
-            self.assertEqual(list(it.announced()), ["d1"])
-            time.sleep(5.0)  # longer than a contest takes
-            self.assertEqual(it.status(second)["standing"], "known")
-
-    def test_in_an_upgrade_the_name_changes_hands_and_nobody_is_fenced(self) -> None:
-        with fleet(members=1) as it, side() as beside:
-            store = {"follow": it.cluster.observer_addresses, "name": "d1", "cluster": "c1"}
-            old = beside.serving(store=store)
-            wait_for(lambda: list(it.announced()) == ["d1"], "the old one to be known")
-            new = beside.serving(store=store)
+            fleet.observers["d1 again"] = second
+            wait_for(
+                lambda: fleet.status(first).get("standing") == "fenced",
+                "the first to be fenced",
+                LONG_WAIT_SECONDS,
+            )
+            self.assertIn("fenced", call_dispatcher(first, "ready"))
+            self.assertTrue(call_dispatcher(first, "ready").startswith("fail drain"))
+            wait_for(lambda: fleet.status(second).get("standing") == "known", "the second to be known")
+            self.assertEqual(list(fleet.announced()), ["d1"])
+            time.sleep(5.0)  # longer than a contest for the name takes
+            self.assertEqual(fleet.status(second)["standing"], "known")
+
+    def test_an_upgrade_transfers_the_name_and_fences_nobody(self) -> None:
+        """During an upgrade two processes have one name. The new one must not follow the store before the old
+        one has ended, for they would fence each other."""
+        with running_fleet(members=1) as fleet, side() as peers:
+            store = {"follow": fleet.cluster.observer_addresses, "name": "d1", "cluster": "c1"}
+            old = peers.serving(store=store)
+            wait_for(lambda: list(fleet.announced()) == ["d1"], "the old one to be known")
+            new = peers.serving(store=store)
             said(old, TOOK)
-            it.put_order(4.0)
-            said(old, "slots=4.0")  # it is the observer still
-            time.sleep(FENCE_AFTER / 1000.0 + 1.0)  # two with one name would be told by now
+            fleet.set_override(4.0)
+            said(old, "slots=4.0")  # the old process still is the observer
+            time.sleep(FENCE_AFTER / 1000.0 + 1.0)  # by now two of one name would have been fenced
             old.process.send_signal(signal.SIGTERM)
             self.assertEqual(old.process.wait(20), 0)
             said(new, "slots=4.0")
-            wait_for(lambda: list(it.announced()) == ["d1"], "the new one to be known")
+            wait_for(lambda: list(fleet.announced()) == ["d1"], "the new one to be known")
             fenced = [line for line in (*old.lines, *new.lines) if "fenced" in line]
             self.assertEqual(fenced, [])
 
-    def test_a_member_that_is_full_refuses_and_others_serve(self) -> None:
-        with fleet("d1", "d2", "d3", limit=1) as it:
-            self.assertEqual(sorted(it.announced().values()), ["m0", "m1", "m2"])
-            fourth = it.follow("d4")
-            wait_for(lambda: "1 observers are served here already" in fourth.log(), "it to be refused")
-            it.observers["d1"].kill()
-            wait_for(lambda: it.status(fourth).get("standing") == "known", "a place to be free", LONG)
-
-    def test_hostile_clients_are_ended_and_nobody_else_notices(self) -> None:
-        with fleet("d1", members=1) as it:
-            host, port = address(it.cluster.observer_addresses["m0"], "")
-            process = it.cluster.all["m0"]
-            before = counters(process)
-            for what, kind in (
+    def test_a_full_member_refuses_an_observer_until_there_is_room(self) -> None:
+        """With a limit of one observer per member, a fourth must be refused by all of them, and must get in
+        as soon as one of the others has gone."""
+        with running_fleet("d1", "d2", "d3", limit=1) as fleet:
+            self.assertEqual(sorted(fleet.announced().values()), ["m0", "m1", "m2"])
+            fourth = fleet.start_observer("d4")
+            wait_for(
+                lambda: "1 observers are served here already" in fourth.log(),
+                "the fourth observer to be refused",
+            )
+            fleet.observers["d1"].kill()
+            wait_for(
+                lambda: fleet.status(fourth).get("standing") == "known",
+                "the fourth observer to be served",
+                LONG_WAIT_SECONDS,
+            )
+
+    def test_invalid_clients_are_disconnected_without_effect_on_observers(self) -> None:
+        """Connections that send garbage, claim an impossible position or do not read must be closed in time
+        and counted by kind, and must not disturb the observers that the member serves."""
+        with running_fleet("d1", members=1) as fleet:
+            host, port = address(fleet.cluster.observer_addresses["m0"], "")
+            process = fleet.cluster.all["m0"]
+            before = read_counters(process)
+            for case, kind in (
                 ("garbage", "malformed"), ("oversized frame", "malformed"), ("no message", "malformed"),
                 ("no Subscribe", "malformed"), ("a revision from the future", "revision_ahead"),
                 ("another cluster", "cluster"), ("a later generation than the member's", "generation_ahead"),
                 ("half a message", "silent"), ("subscribes and never reads", ""),
             ):  # fmt: skip
-                with self.subTest(what):
-                    ended = bad_input.CASES[what](host, port)
+                with self.subTest(case):
+                    ended = bad_input.CASES[case](host, port)
                     self.assertEqual(ended.kind, kind)
-                    assert ended.ended_s is not None, "it was not ended"
+                    assert ended.ended_s is not None, "the connection was not closed"
                     self.assertLess(ended.ended_s, 3.3)
-            after = counters(process)
-            grown = {k: after[k] - before.get(k, 0) for k in after if k.startswith("observers.rejected.")}
-            wanted = {"malformed": 4, "revision_ahead": 1, "cluster": 1, "generation_ahead": 1, "silent": 1,
+            after = read_counters(process)
+            increases = {k: after[k] - before.get(k, 0) for k in after if k.startswith("observers.rejected.")}
+            expected = {"malformed": 4, "revision_ahead": 1, "cluster": 1, "generation_ahead": 1, "silent": 1,
                       "unresponsive": 1}  # fmt: skip
-            self.assertEqual(grown, {f"observers.rejected.{kind}": n for kind, n in wanted.items()})
-            self.assertEqual(counters(it.observers["d1"]).get("observer.lost", 0), 0)
-            it.put_order(6.0)
-            wait_for(lambda: it.applied(6.0), "the order to be followed")
-
-    def test_a_restored_store_is_taken_from_its_new_generation_on(self) -> None:
-        with fleet("d1", members=1) as it:
-            it.put_order(3.0)
-            wait_for(lambda: it.applied(3.0), "the order to be followed")
-            member, process = it.cluster.all["m0"], it.observers["d1"]
-            first = it.status(process)
-            saved = it.folder / "saved"
+            self.assertEqual(increases, {f"observers.rejected.{kind}": n for kind, n in expected.items()})
+            self.assertEqual(read_counters(fleet.observers["d1"]).get("observer.lost", 0), 0)
+            fleet.set_override(6.0)
+            wait_for(lambda: fleet.is_override_applied(6.0), "the override to be applied")
+
+    def test_an_observer_follows_a_restored_store_in_its_new_generation(self) -> None:
+        """Restoring a backup takes revisions back, which an observer refuses within a generation. It must
+        accept the older documents because the generation is a later one."""
+        with running_fleet("d1", members=1) as fleet:
+            fleet.set_override(3.0)
+            wait_for(lambda: fleet.is_override_applied(3.0), "the override to be applied")
+            member, process = fleet.cluster.all["m0"], fleet.observers["d1"]
+            first_status = fleet.status(process)
+            saved = fleet.folder / "saved"
             eiderpin("store", "snapshot", str(saved), "--door", member.door)
-            it.put_order(4.0)
-            wait_for(lambda: it.applied(4.0), "the second order to be followed")
+            fleet.set_override(4.0)
+            wait_for(lambda: fleet.is_override_applied(4.0), "the second override to be applied")
             member.kill()
-            member.directory.rename(it.folder / "old")
+            member.directory.rename(fleet.folder / "old")
             eiderpin("store", "restore", str(saved), str(member.directory), "--name", "m0", "--cluster", "c1",
                      "--member", f"m0={member.listen}")  # fmt: skip
             member.start()
-            wait_for(lambda: it.status(process).get("generation") == 2, "the next generation", LONG)
-            self.assertEqual(first["generation"], 1)
-            wait_for(lambda: process.log().count("slots=3.0") == 2, "the order to be as it was")
+            wait_for(
+                lambda: fleet.status(process).get("generation") == 2, "the next generation", LONG_WAIT_SECONDS
+            )
+            self.assertEqual(first_status["generation"], 1)
+            wait_for(
+                lambda: process.log().count("slots=3.0") == 2, "the override of the snapshot to be applied"
+            )
 
 
 class Scale(unittest.TestCase):
-    def test_a_small_run_keeps_its_promises(self) -> None:
-        done = subprocess.run(
+    def test_a_small_scale_run_meets_its_conditions(self) -> None:
+        """Runs the scale benchmark with few dispatchers, one fault and no timing limits, so that the tests
+        already notice a change that breaks what it checks."""
+        completed = subprocess.run(
             [sys.executable, "-m", "benchmarks.scale", "run", "--dispatchers", "20", "--fault",
              "leader-killed", "--minutes", "0.05", "--untimed"],
             cwd=ROOT, capture_output=True, text=True, timeout=120, env={**os.environ},
         )  # fmt: skip
-        self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
-        said = json.loads(done.stdout.splitlines()[-1])
-        self.assertEqual((said["broken"], said["dispatchers"], said["changes"]), ([], 20, 8))
+        self.assertEqual(completed.returncode, 0, completed.stdout + completed.stderr)
+        result = json.loads(completed.stdout.splitlines()[-1])
+        self.assertEqual((result["broken"], result["dispatchers"], result["changes"]), ([], 20, 8))
 
 
 if __name__ == "__main__":
