--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,5 +1,8 @@
-"""Our own closes: what arrives in that very moment is answered or left for its sender to send again, never
-taken and lost; an answer that is out arrives whole. Both orders of each crossing."""
+"""Connections that the dispatcher closes.
+
+A request that arrives at the same moment is either answered, or not accepted, so that its sender can send it
+again elsewhere; none is accepted and lost. An answer that has been sent arrives completely. Each test has the
+loop see the two events in either order."""
 
 from __future__ import annotations
 
@@ -28,8 +31,8 @@
 HEALTH = b"GET /_health HTTP/1.1\r\n\r\n"
 
 
-def rested(harness: Harness) -> Peer:
-    """A client that has had an answer, and rests."""
+def idle_client(harness: Harness) -> Peer:
+    """A client that has had an answer, and is idle."""
     client = harness.client()
     client.send(HEALTH)
     harness.run_until(client.read_available, "an answer")
@@ -37,8 +40,8 @@
     return client
 
 
-def served(harness: Harness, client: Peer, rid: str, answer: bool = True) -> None:
-    """See that its job begins, and tell that it is done."""
+def complete_job(harness: Harness, client: Peer, rid: str, answer: bool = True) -> None:
+    """Wait until a client's job begins, and call back that it is done; with `answer` wait for the answer."""
     harness.advance_clock(40)
     name = harness.run_until(
         lambda: [w.name for w in harness.workers if rid in w.begun()], "the job to begin"
@@ -54,41 +57,46 @@
 
 
 def sigterm(harness: Harness) -> None:
+    """Begin the shutdown, and pass the first check for idle connections."""
     harness.service.stop()
-    harness.advance_clock(edges.AWAY_EVERY)
+    harness.advance_clock(edges.DRAIN_INTERVAL_MS)
 
 
 def drain(harness: Harness) -> None:
+    """Drain the dispatcher, and pass the first check for idle connections."""
     harness.service.drain()
-    harness.advance_clock(services.SETTLE + edges.AWAY_EVERY)
+    harness.advance_clock(services.SETTLE + edges.DRAIN_INTERVAL_MS)
 
 
 def long_idle(harness: Harness) -> None:
-    harness.advance_clock(edges.IDLE_LIMIT + 2 * edges.SWEEP)
+    """Let the idle timeout pass."""
+    harness.advance_clock(edges.IDLE_TIMEOUT_MS + 2 * edges.SWEEP_INTERVAL_MS)
 
 
 CLOSES: dict[str, Callable[[Harness], None]] = {"SIGTERM": sigterm, "drain": drain, "long idle": long_idle}
 
 
-class RestingClients(unittest.TestCase):
-    def test_a_request_that_is_there_before_the_close_is_answered(self) -> None:
+class IdleClients(unittest.TestCase):
+    def test_a_request_that_arrives_before_the_close_is_answered(self) -> None:
+        """The request is unread while the loop decides which connections are idle."""
         for name, close in CLOSES.items():
             with self.subTest(close=name), running_harness() as harness:
-                client = rested(harness)
-                front = harness.loop.connections.all()
-                harness.hold_back(lambda conn, front=front: conn in front)
+                client = idle_client(harness)
+                connections = harness.loop.connections.all()
+                harness.hold_back(lambda conn, connections=connections: conn in connections)
                 client.send(job_request("time-lookup", "a"))
                 close(harness)
                 harness.release_held()
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
-                served(harness, client, "a")
+                complete_job(harness, client, "a")
                 self.assertEqual(client.read_available().count(b"HTTP/1.1 "), 1)
 
-    def test_one_that_comes_after_it_is_not_taken(self) -> None:
-        """The client sees an orderly end and no answer, and sends it again elsewhere; nothing is sent on."""
+    def test_a_request_that_arrives_after_the_close_is_not_accepted(self) -> None:
+        """The client sees an orderly close and no answer, so it can send the request again elsewhere. Nothing
+        of it may be sent to a worker."""
         for name, close in CLOSES.items():
             with self.subTest(close=name), running_harness() as harness:
-                client = rested(harness)
+                client = idle_client(harness)
                 close(harness)
                 self.assertEqual(client.read_available(), b"")
                 self.assertEqual(client.ended, "closed")
@@ -99,9 +107,9 @@
                 client.close()
                 harness.run_until(lambda s=harness: not len(s.service.http_front.connections), "its end")
 
-    def test_one_that_never_ends_its_side_is_closed_all_the_same(self) -> None:
+    def test_a_client_that_never_closes_its_side_is_closed_after_some_time(self) -> None:
         with running_harness() as harness:
-            client = rested(harness)
+            client = idle_client(harness)
             sigterm(harness)
             for _ in range(5):
                 client.send(b"x" * 1000)
@@ -109,14 +117,15 @@
             harness.advance_clock(loops.LINGER_MS + 100)
             self.assertEqual(len(harness.service.http_front.connections), 0)
 
-    def test_gearman_clients_that_rest_are_closed_as_carefully(self) -> None:
+    def test_idle_gearman_clients_are_closed_only_if_they_have_sent_nothing(self) -> None:
+        """A packet that arrives before the close is answered; one that arrives after it is not."""
         echo = pack(Kind.ECHO_REQ, b"there?", magic=b"\0REQ")
         for asks_first in (True, False):
             with self.subTest(asks_first=asks_first), running_harness(gearman=True) as harness:
                 client = harness.client("gearman")
                 harness.run_turns(3)
-                front = harness.loop.connections.all()
-                harness.hold_back(lambda conn, front=front: conn in front)
+                connections = harness.loop.connections.all()
+                harness.hold_back(lambda conn, connections=connections: conn in connections)
                 if asks_first:
                     client.send(echo)
                 harness.service.stop()
@@ -128,7 +137,8 @@
                 self.assertEqual(b"there?" in client.read_available(), asks_first)
                 self.assertEqual(client.ended, "" if asks_first else "closed")
 
-    def test_who_says_nothing_is_closed_in_order_within_3_s(self) -> None:
+    def test_a_client_that_sends_nothing_is_closed_within_3_s_without_a_reset(self) -> None:
+        """A job that it sends after that is not accepted."""
         for late in (False, True):
             with self.subTest(late=late), running_harness() as harness:
                 client = harness.client()
@@ -143,9 +153,10 @@
                     self.assertEqual(harness.begun(), [])
 
 
-class LastWords(unittest.TestCase):
-    def test_what_is_unread_behind_a_request_takes_no_answer_with_it(self) -> None:
-        """The last answer on a connection crosses more that its client sends: a reset would destroy it."""
+class LastAnswers(unittest.TestCase):
+    def test_unread_input_behind_a_request_does_not_destroy_its_answer(self) -> None:
+        """The client sends more while the last answer on its connection is on its way. If the connection were
+        closed with input unread, the kernel would send a reset, and the client could lose the answer."""
         for why, more, read in itertools.product(
             ("asked", "SIGTERM"),
             (b"P", job_request("time-lookup", "b")[:40], job_request("time-lookup", "b")),
@@ -153,35 +164,36 @@
         ):
             with self.subTest(why=why, more=more[:10], read=read), running_harness() as harness:
                 client = harness.client()
-                asks = job_request("time-lookup", "a")
+                request = job_request("time-lookup", "a")
                 if why == "asked":
-                    asks = asks.replace(b"Req-Id", b"Connection: close\r\nReq-Id")
-                client.send(asks)
+                    request = request.replace(b"Req-Id", b"Connection: close\r\nReq-Id")
+                client.send(request)
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 if why == "SIGTERM":
                     sigterm(harness)
-                front = [c for c in harness.loop.connections.all() if not leads_to_worker(c)]
+                connections = [c for c in harness.loop.connections.all() if not leads_to_worker(c)]
                 if not read:
-                    harness.hold_back(lambda conn, front=front: conn in front)
+                    harness.hold_back(lambda conn, connections=connections: conn in connections)
                 client.send(more)
                 harness.run_turns(3)
-                if why == "asked" and read:  # after Connection: close nothing may come
+                if why == "asked" and read:  # nothing may follow a request with `Connection: close`
                     harness.run_until(lambda c=client: c.read_available() and c.ended, "its end")
                     self.assertEqual((client.ended, client.received[:13]), ("closed", b"HTTP/1.1 400 "))
                     continue
-                served(harness, client, "a")
+                complete_job(harness, client, "a")
                 harness.release_held()
                 harness.run_turns(5)
-                # A whole request that was read behind another is owed its answer as well.
-                taken = ["a", "b"] if read and more.endswith(b"\r\n\r\n") else ["a"]
-                if "b" in taken:
+                # A complete request that was read behind another must be answered as well.
+                accepted = ["a", "b"] if read and more.endswith(b"\r\n\r\n") else ["a"]
+                if "b" in accepted:
                     client.received = b""
-                    served(harness, client, "b")
+                    complete_job(harness, client, "b")
                 harness.run_until(lambda c=client: c.read_available() and c.ended, "its end")
                 self.assertEqual((client.ended, client.received.count(b"HTTP/1.1 200")), ("closed", 1))
-                self.assertEqual(sorted(harness.begun()), taken)
+                self.assertEqual(sorted(harness.begun()), accepted)
 
     def test_an_error_reaches_a_client_that_goes_on_sending(self) -> None:
+        """A reset because of its unread input could destroy the error."""
         with running_harness() as harness:
             client = harness.client()
             client.send(b"GET /nothing-here HTTP/1.1\r\n\r\n" + b"x" * 200_000)
@@ -189,8 +201,8 @@
             self.assertEqual(client.ended, "closed")
             self.assertIn(b"HTTP/1.1 4", client.received)
 
-    def test_small_writes_are_not_held_back(self) -> None:
-        """TCP_NODELAY on what is accepted and on what is connected."""
+    def test_small_writes_are_not_delayed(self) -> None:
+        """TCP_NODELAY is set on accepted connections and on those to workers."""
         import socket
 
         with running_harness() as harness:
@@ -204,22 +216,24 @@
                 self.assertTrue(conn.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
 
-class Ending(unittest.TestCase):
-    """From SIGTERM to the exit: `over` is what the program asks after each turn."""
+class Exiting(unittest.TestCase):
+    """From SIGTERM to the exit: the program asks `over` after each turn of the loop."""
 
-    def until_over(self, harness: Harness, most: float = 20_000) -> float:
+    def run_to_exit(self, harness: Harness, max_ms: float = 20_000) -> float:
+        """Run until the process may exit, and return how long that took, in ms; at most `max_ms`."""
         passed = 0.0
         while not harness.service.over():
             harness.advance_clock(20)
             passed += 20
-            self.assertLess(passed, most)
+            self.assertLess(passed, max_ms)
         return passed
 
-    def test_input_that_waits_in_the_last_turn_is_answered_first(self) -> None:
-        """All is answered and its time has come; a request lies unread on a connection that it never saw."""
+    def test_unread_input_is_answered_before_the_exit(self) -> None:
+        """All jobs are answered and the time to exit has come, but a request is unread, on a known connection
+        or on one that has not been accepted yet."""
         for new in (False, True):
             with self.subTest(new=new), running_harness() as harness:
-                client = rested(harness)
+                client = idle_client(harness)
                 harness.hold_back(lambda conn: isinstance(conn, Connection))
                 if not new:
                     client.send(job_request("time-lookup", "a"))
@@ -233,12 +247,12 @@
                 harness.release_held()
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
                 self.assertFalse(harness.service.over())
-                served(harness, client, "a")
-                self.until_over(harness)
+                complete_job(harness, client, "a")
+                self.run_to_exit(harness)
 
-    def test_resting_clients_are_closed_in_order_and_then_it_ends(self) -> None:
+    def test_idle_clients_are_closed_without_a_reset_before_the_exit(self) -> None:
         with running_harness() as harness:
-            clients = [rested(harness) for _ in range(5)] + [harness.client() for _ in range(5)]
+            clients = [idle_client(harness) for _ in range(5)] + [harness.client() for _ in range(5)]
             harness.service.stop()
             passed = 0.0
             while not harness.service.over():
@@ -252,12 +266,14 @@
             self.assertEqual({c.ended for c in clients}, {"closed"})
             self.assertEqual(len(harness.service.http_front.connections), 0)
 
-    def test_a_job_that_comes_at_the_very_end_by_the_other_front_is_served(self) -> None:
-        """The HTTP listener has gone already; the job's worker can call back all the same."""
+    def test_a_job_that_arrives_late_at_the_gearman_front_end_is_served(self) -> None:
+        """The HTTP listener has been closed by then. It must be opened again, or the job's worker could not
+        call back."""
         with running_harness(gearman=True) as harness:
-            resting, late = rested(harness), harness.client("gearman")
+            idle, late = idle_client(harness), harness.client("gearman")
             harness.run_turns(3)
-            late.send(pack(Kind.CAN_DO, b"no-class-of-ours", magic=b"\0REQ"))  # a worker's, so it stays
+            # With a function it counts as a worker, whose connection stays open.
+            late.send(pack(Kind.CAN_DO, b"no-class-of-ours", magic=b"\0REQ"))
             harness.run_turns(3)
             harness.service.stop()
             harness.advance_clock(shutdown.LINGER_MS + 50)
@@ -273,32 +289,31 @@
             )[0]
             harness.client().send(callback_request("g", name, "done", result="ok"))
             harness.run_until(lambda: b"ok" in late.read_available(), "its result")
-            self.until_over(harness)
-            resting.read_available()
-            self.assertEqual(resting.ended, "closed")
+            self.run_to_exit(harness)
+            idle.read_available()
+            self.assertEqual(idle.ended, "closed")
 
-    def test_those_who_never_end_do_not_keep_it(self) -> None:
-        """Who rests after our end, who sends half a request and stays, workers that hang."""
+    def test_peers_that_never_finish_do_not_prevent_the_exit(self) -> None:
+        """A client that does not close its side, one that sends a part of a request and stays, and a worker
+        that never answers."""
         with running_harness() as harness:
-            resting, half, busy = rested(harness), harness.client(), harness.client()
-            half.send(job_request("time-lookup", "h")[:30])
+            idle, partial, busy = idle_client(harness), harness.client(), harness.client()
+            partial.send(job_request("time-lookup", "h")[:30])
             busy.send(job_request("result-post", "a", wait=1500))
             harness.run_until(lambda: harness.core.outstanding, "the job")
             harness.advance_clock(40)
             harness.service.stop()
-            took = self.until_over(harness, 5000)
+            took = self.run_to_exit(harness, 5000)
             self.assertGreater(took, 1000)  # the job's answer was waited for
             self.assertEqual(busy.read_available().count(b"HTTP/1.1 500"), 1)
-            self.assertEqual(
-                half.read_available().count(b"HTTP/1.1 "), 1
-            )  # an error, or that it was turned down
-            resting.read_available()
-            self.assertEqual(resting.ended, "closed")
-
-    def test_clients_that_send_on_every_open_connection_lose_nothing(self) -> None:
-        """Each either gets its answer or an orderly end without one, and what was not answered never ran."""
+            self.assertEqual(partial.read_available().count(b"HTTP/1.1 "), 1)  # an error, or a rejection
+            idle.read_available()
+            self.assertEqual(idle.ended, "closed")
+
+    def test_jobs_sent_on_open_connections_during_the_exit_are_not_lost(self) -> None:
+        """Each client gets its answer, or an orderly close without one if no worker was sent its job."""
         with running_harness() as harness:
-            clients = [rested(harness) for _ in range(12)]
+            clients = [idle_client(harness) for _ in range(12)]
             harness.service.stop()
             sent: dict[str, Peer] = {}
             for step in range(90):
@@ -312,22 +327,23 @@
                         sent[rid] = client
                 for worker in harness.workers:
                     for rid in worker.begun():
-                        if rid not in self.told:
-                            self.told.add(rid)
+                        if rid not in self.called_back:
+                            self.called_back.add(rid)
                             harness.client().send(callback_request(rid, worker.name, "done", result=rid))
-            self.until_over(harness)
+            self.run_to_exit(harness)
             for rid, client in sent.items():
                 client.read_available()
                 answered = rid.encode() in client.received and b"200 OK" in client.received
                 self.assertEqual(answered, rid in harness.begun(), rid)
 
     def setUp(self) -> None:
-        self.told: set[str] = set()
+        self.called_back: set[str] = set()  # ids of the jobs that were reported as done
 
 
 class Floods(unittest.TestCase):
-    def test_a_flood_is_refused_and_leaves_nothing_behind(self) -> None:
-        """Many requests at once, much at once, half a request: then gone, or staying. Others are served."""
+    def test_a_flood_is_rejected_and_leaves_nothing_behind(self) -> None:
+        """Clients send many requests, much data or a part of a request at once, and then leave or stay.
+        Others are still served, and no connection or memory stays in use."""
         floods = [
             job_request("time-lookup", "f") * 2000, b"A" * 300_000,
             job_request("result-post", "f", body=bytes(60_000)) * 8,
@@ -335,8 +351,8 @@
         ]  # fmt: skip
         for flood, way in itertools.product(floods, ("close", "reset", "stay")):
             with self.subTest(flood=flood[:12], way=way), running_harness(workers=6) as harness:
-                floody = [harness.client() for _ in range(10)]
-                for peer in floody:
+                flooding = [harness.client() for _ in range(10)]
+                for peer in flooding:
                     with contextlib.suppress(BlockingIOError):
                         peer.sock.send(flood)
                     harness.run_turns()
@@ -345,30 +361,31 @@
                 other = harness.client()
                 other.send(job_request("time-lookup", "other"))
                 harness.run_until(lambda s=harness: s.core.request_of("other"), "the other's job")
-                served(harness, other, "other")
+                complete_job(harness, other, "other")
                 for _ in range(60):
                     harness.advance_clock(100)
-                    for peer in floody:
+                    for peer in flooding:
                         peer.read_available()
-                edge = harness.service.http_front
+                front = harness.service.http_front
                 if way == "stay":
-                    ended = [p for p in floody if p.ended or b"HTTP/1.1 " in p.received]
+                    ended = [peer for peer in flooding if peer.ended or b"HTTP/1.1 " in peer.received]
                     self.assertEqual(len(ended), 10)
                     continue
-                self.assertLessEqual(len(edge.connections), 2)
-                self.assertEqual(edge.held, sum(e.held for e in edge.connections.all()))
+                self.assertLessEqual(len(front.connections), 2)
+                self.assertEqual(front.held_bytes, sum(c.held_bytes for c in front.connections.all()))
 
-    def test_no_descriptors_for_a_while_is_no_busy_loop_and_no_end(self) -> None:
-        """The kernel refuses each accept: the listener rests between two tries, and wakes."""
+    def test_a_lack_of_descriptors_causes_no_busy_loop_and_passes(self) -> None:
+        """Each accept fails while a connection waits in the backlog, so the listener stays readable. It must
+        pause between two attempts, and accept again once it can."""
         import errno
 
         with running_harness() as harness:
             listener = harness.service.http_front.listener
-            tries: list[float] = []
+            attempts: list[float] = []  # times in ms
 
-            class Full:
+            class FailingSocket:
                 def accept(self) -> object:
-                    tries.append(harness.clock.at)
+                    attempts.append(harness.clock.at)
                     raise OSError(errno.EMFILE, "none left")
 
                 def __getattr__(self, name: str) -> object:
@@ -377,12 +394,12 @@
             sock = listener.sock
             client = harness.client()
             client.send(HEALTH)
-            with mock.patch.object(listener, "sock", Full()):
+            with mock.patch.object(listener, "sock", FailingSocket()):
                 for _ in range(50):
                     harness.advance_clock(10)
                     harness.run_turns(3, wait=0.0)
-            self.assertLess(len(tries), 500 / loops.SUSPEND_MS + 2)
-            self.assertGreater(len(tries), 10)
+            self.assertLess(len(attempts), 500 / loops.SUSPEND_MS + 2)
+            self.assertGreater(len(attempts), 10)
             harness.advance_clock(loops.SUSPEND_MS)
             self.assertIn(b"HTTP/1.1 ", harness.run_until(client.read_available, "an answer"))
 
