--- a/eiderpin/fleet/member_choice.py
+++ b/eiderpin/fleet/member_choice.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from eiderpin.parts.observer import Endpoint
+from eiderpin.parts.observer import MemberEndpoint
 
 FIRST_AVOID_MS = 2_000.0
 MAX_AVOID_MS = 30_000.0
@@ -41,7 +41,9 @@
         rng: Spreads how long a member is avoided.
     """
 
-    def __init__(self, observer: str, region: str, endpoints: Sequence[Endpoint], rng: random.Random) -> None:
+    def __init__(
+        self, observer: str, region: str, endpoints: Sequence[MemberEndpoint], rng: random.Random
+    ) -> None:
         """Rank the members; none is avoided yet."""
         self.rng = rng
         self.ranked = sorted(
@@ -50,11 +52,11 @@
         self._avoided: dict[str, _Avoidance] = {}
 
     @property
-    def first(self) -> Endpoint:
+    def first(self) -> MemberEndpoint:
         """The member to use when all of them work."""
         return self.ranked[0]
 
-    def best(self, now: float) -> Endpoint | None:
+    def best(self, now: float) -> MemberEndpoint | None:
         """The highest ranked member that is not avoided now; None: all are avoided."""
         for endpoint in self.ranked:
             avoidance = self._avoided.get(endpoint.member)
@@ -62,7 +64,7 @@
                 return endpoint
         return None
 
-    def next_member(self, now: float) -> Endpoint:
+    def next_member(self, now: float) -> MemberEndpoint:
         """The member to try now: the best one; where all are avoided, the one whose avoidance ends first."""
         best = self.best(now)
         if best is not None:
--- a/eiderpin/fleet/observer.py
+++ b/eiderpin/fleet/observer.py
@@ -31,8 +31,8 @@
     Violation,
 )
 from eiderpin.net.loop import Connection, Loop
-from eiderpin.parts.observer import Endpoint
-from eiderpin.store.framing import Frames, frame
+from eiderpin.parts.observer import MemberEndpoint
+from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.observer_protocol import FROM_MEMBER, MAGIC, Leave, Rejection, Report
 from eiderpin.store.state import Event
 
@@ -90,7 +90,7 @@
         loop: Loop,
         counters: Counters,
         subscription: Subscription,
-        endpoints: Sequence[Endpoint],
+        endpoints: Sequence[MemberEndpoint],
         sink: ObserverSink,
         rng: random.Random,
         log_info: Callable[[str], None],
@@ -103,7 +103,7 @@
         self.subscription, self.rng = subscription, rng
         self.member_choice = MemberChoice(subscription.name, subscription.region, endpoints, rng)
         self.backoff = FullJitter(rng)
-        self.endpoint: Endpoint | None = None  # the member connected to, or tried last
+        self.endpoint: MemberEndpoint | None = None  # the member connected to, or tried last
         self.subscribed = False  # whether the member has accepted the subscription
         self.presence_state = PresenceState.UNKNOWN
         self.current_at: float | None = None  # when the copy was last known to be up to date; None: never
@@ -147,8 +147,8 @@
             return
         self.counters.add("observer.connects")
         self._connection = connection
-        frames = Frames(b"")
-        connection.on_open = lambda: connection.write(MAGIC + frame(self.subscription.subscribe()))
+        frames = FrameDecoder(b"")
+        connection.on_open = lambda: connection.write(MAGIC + encode_frame(self.subscription.subscribe()))
         connection.on_data = lambda data: self._handle_data(connection, frames, data)
         connection.on_end = self._handle_end
         self._expect_message(ACCEPT_TIMEOUT_MS)
@@ -212,7 +212,7 @@
 
     # -- messages of the member
 
-    def _handle_data(self, connection: Connection, frames: Frames, data: bytes) -> None:
+    def _handle_data(self, connection: Connection, frames: FrameDecoder, data: bytes) -> None:
         try:
             messages = [FROM_MEMBER.decode(body) for body in frames.feed(data)]
             for message in messages:
@@ -316,7 +316,7 @@
 
     def _send(self, message: msgspec.Struct) -> None:
         if self._connection is not None:
-            self._connection.write(frame(message))
+            self._connection.write(encode_frame(message))
 
     def _send_report(self) -> None:
         """Report what is in force if it has changed since the last report."""
@@ -339,7 +339,7 @@
             self.loop.deadlines.drop(deadline)
         connection = self._connection
         if connection is not None:
-            connection.write(frame(Leave()))
+            connection.write(encode_frame(Leave()))
             connection.close_when_sent()
 
 
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -175,7 +175,7 @@
         """Accept a job, unless the disk has failed or another process has claimed it. Returns whether it was
         accepted."""
         claim = self.read_claim(request)
-        if self.host.member.failed or (claim is not None and claim.by != self.claimant):
+        if self.host.member.disk_failed or (claim is not None and claim.by != self.claimant):
             return False
         self.last_job += 1
         request.job = self.last_job
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -22,7 +22,7 @@
 from eiderpin.net.edge import ClientConnection
 from eiderpin.net.loop import READ, Loop
 from eiderpin.net.workers import HttpWorkers
-from eiderpin.parts.durable import Options
+from eiderpin.parts.durable import DurableOptions
 
 LEDGER_ERRORS = (Locked, BadFormat, Damaged, BrokenRule, OSError)
 OPEN_RETRY_MS = 100.0  # between tries to open the ledger while the peer process owns it
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, loop: Loop, core: Dispatcher, workers: HttpWorkers, options: Options, name: str,
+        self, loop: Loop, core: Dispatcher, workers: HttpWorkers, options: DurableOptions, name: str,
         peer_may_own: bool, log_info: Callable[[str], None], log_warning: Callable[[str], None],
     ) -> None:  # fmt: skip
         """Open the ledger, or wait for the peer process to release it."""
--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -61,7 +61,7 @@
         self.hints_until = core.clock.now() + ACCEPT_HINTS_MS
         self.publish_hint_at = core.clock.now() + PUBLISH_HINT_INTERVAL_MS
         token = f"{host.member.rng.getrandbits(64):016x}"
-        self.incarnation = Incarnation(name, token, host.member.born.generation)
+        self.incarnation = Incarnation(name, token, host.member.identity.generation)
         self.on_fenced: Callable[[], None] = lambda: None
         self.rejoin = RejoinProgress(core.clock.now())
         self.has_worker_list: Callable[[], bool] = lambda: False
@@ -232,7 +232,7 @@
     def send_next_command(self) -> None:
         """Send the next command that the store needs from us, unless one is pending already."""
         self.record_progress()
-        if self.command_pending or self.host.member.failed or self.is_fenced:
+        if self.command_pending or self.host.member.disk_failed or self.is_fenced:
             return
         if self.incarnation.claim_state is ClaimState.UNKNOWN:
             self.claim_name()
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -20,8 +20,8 @@
 from benchmarks.rig import ROOT
 from benchmarks.scale import bad_input
 from benchmarks.store_rig import Cluster, Process
-from eiderpin.cli.config import install
-from eiderpin.parts.store import address
+from eiderpin.cli.config import publish_config
+from eiderpin.parts.store import parse_address
 from eiderpin.store.client import Failed
 from eiderpin.store.fleet_view import documents, live_observers
 from eiderpin.store.names import OBSERVERS
@@ -127,7 +127,7 @@
 
 def call_management(where: str, call: str) -> str:
     """The first line that the management API at an address answers."""
-    with socket.create_connection(address(where, "door"), 5.0) as sock:
+    with socket.create_connection(parse_address(where, "door"), 5.0) as sock:
         sock.sendall(call.encode() + b"\n")
         with sock.makefile() as file:
             return file.readline().strip()
@@ -157,7 +157,7 @@
             store = fleet.cluster.store_client(20.0)
             config = json.loads((fleet.observers["d1"].folder / "config.json").read_text())
             text = json.dumps({"settings": config["settings"], "workers": []}).encode()
-            self.assertEqual(install(store, text), 1)
+            self.assertEqual(publish_config(store, text), 1)
             wait_for(
                 lambda: all("version 1 taken" in p.log() for p in fleet.observers.values()),
                 "version 1 to be applied",
@@ -181,7 +181,7 @@
             )
             self.assertEqual(listed.count("observer of m"), 2)
             changed_settings = dict(config["settings"], tick=7.0)
-            install(store, json.dumps({"settings": changed_settings, "workers": []}).encode())
+            publish_config(store, json.dumps({"settings": changed_settings, "workers": []}).encode())
             lagging = "d1: version 2, restart needed: settings"
             wait_for(lambda: lagging in shown_config(), "the needed restart to be shown")
             self.assertIn("in force at 0 of 5 dispatchers\n", shown_config())
@@ -356,7 +356,7 @@
         """Connections that send garbage, claim an impossible position or do not read must be closed in time
         and counted by kind, and must not disturb the observers that the member serves."""
         with running_fleet("d1", members=1) as fleet:
-            host, port = address(fleet.cluster.observer_addresses["m0"], "")
+            host, port = parse_address(fleet.cluster.observer_addresses["m0"], "")
             process = fleet.cluster.all["m0"]
             before = read_counters(process)
             for case, kind in (
