--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,13 +20,13 @@
 import msgspec
 import orjson
 
-from eiderpin.cli.config import problem
+from eiderpin.cli.config import find_config_error
 from eiderpin.core.counters import Counters
 from eiderpin.core.deadlines import Clock, Deadlines
 from eiderpin.fleet.observer import Observer
 from eiderpin.fleet.subscription import Subscription
 from eiderpin.net.loop import READ, Connection, Loop
-from eiderpin.parts.observer import Endpoint
+from eiderpin.parts.observer import MemberEndpoint
 from eiderpin.store.names import CURRENT
 from eiderpin.store.observer_protocol import ConfigOutcome, Report
 from eiderpin.store.observer_registry import version_of
@@ -110,7 +110,7 @@
                 self.process.note_applied(f"{event.name}@{event.revision}")
                 continue
             version = version_of(event.value)
-            wrong = problem(event.value.partition(b"\n")[2])
+            wrong = find_config_error(event.value.partition(b"\n")[2])
             self.outcome = ConfigOutcome.REJECTED if wrong else ConfigOutcome.IN_FORCE
             if version < self.version:
                 self.process.tell(went_back=self.name, position=version, highest=self.version)
@@ -152,7 +152,9 @@
         self.rng = random.Random(options.seed)
         self.clock, self.deadlines, self.counters = Clock(), Deadlines(), Counters()
         self.loop = CountingLoop(self.clock, self.deadlines, self.counters)
-        self.endpoints = [Endpoint(m, (host, port), region) for m, host, port, region in options.endpoints]
+        self.endpoints = [
+            MemberEndpoint(m, (host, port), region) for m, host, port, region in options.endpoints
+        ]
         self.applied: dict[str, list[float]] = {}  # change -> times, since the last figures
         self.lags: list[float] = []
         self.ended = False
--- a/eiderpin/simhost.py
+++ b/eiderpin/simhost.py
@@ -18,12 +18,12 @@
     """
 
     def __init__(self) -> None:
-        self._lists: dict[int, wire.Rows] = {}
-        self._instances: dict[str, tuple[Dispatcher, wire.Names]] = {}
+        self._lists: dict[int, wire.WorkerEntries] = {}
+        self._instances: dict[str, tuple[Dispatcher, wire.ReportNames]] = {}
 
     def line(self, line: bytes) -> bytes:
         """Return the reply to one batch. Raises `WireError` and `SettingsError`."""
-        now, groups = wire.batch(line)
+        now, groups = wire.decode_batch(line)
         replies: list[tuple[str, list[api.Action]]] = []
         for group in groups:
             try:
@@ -40,7 +40,7 @@
                 raise wire.WireError(text) from error
             if actions:
                 replies.append((name, actions))
-        return wire.reply(replies)
+        return wire.encode_reply(replies)
 
     def _handle_events(self, now: float, name: str, events: list[dict[str, Any]]) -> list[api.Action]:
         """Pass one instance's events to it and return its actions."""
@@ -50,9 +50,9 @@
         for data in events:
             kind = data["m"]
             if kind == "SNAPSHOT_ROWS":
-                self._lists[data["slot"]] = wire.rows(data["lines"])
+                self._lists[data["slot"]] = wire.decode_workers(data["lines"])
             elif kind == "PROVISION":
-                settings, names = wire.settings(data.get("conf"))
+                settings, names = wire.decode_settings(data.get("conf"))
                 instance = (Dispatcher(settings, int(data.get("prng") or 0)), names)
                 self._instances[name] = instance
                 pending = []
@@ -62,9 +62,9 @@
                 instance, pending = None, []
             elif instance is not None:
                 if kind == "MEMBERS":
-                    pending.append(wire.membership(data, self._lists))
+                    pending.append(wire.decode_membership(data, self._lists))
                 else:
-                    event = wire.event(data, instance[1])
+                    event = wire.decode_event(data, instance[1])
                     if event is not None:
                         pending.append(event)
         if instance is not None and pending:
--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -14,10 +14,10 @@
 import orjson
 
 from eiderpin.net.management import ManagementConnection
-from eiderpin.parts.store import NAME, address
+from eiderpin.parts.store import NAME_PATTERN, parse_address
 from eiderpin.store import state
 from eiderpin.store.host import StoreHost
-from eiderpin.store.member import Unavailable, Watch
+from eiderpin.store.member import OutcomeUnknown, Watch
 from eiderpin.store.raft import NotLeader, Refused
 from eiderpin.store.state import (
     Answer,
@@ -168,7 +168,7 @@
         member = self.host.member
         prefix, after = text(asked, "prefix", ""), number(asked, "after", member.store.revision)
         watch: Watch | None = None
-        generation = member.born.generation
+        generation = member.identity.generation
         if number(asked, "generation", generation) != generation:
             fail(caller, "compacted", f"the store has begun anew: its generation is {generation}")
             return
@@ -199,7 +199,7 @@
 
         def then() -> None:
             image = self.host.member.store.image()
-            head = {"ok": True, "bytes": len(image), "generation": self.host.member.born.generation}
+            head = {"ok": True, "bytes": len(image), "generation": self.host.member.identity.generation}
             caller.write_line(orjson.dumps(head).decode())
             for at in range(0, len(image), PART):
                 caller.write_line(base64.b64encode(image[at : at + PART]).decode())
@@ -261,10 +261,10 @@
         name, where = text(asked, "name"), ""
         if asked["op"] in ("add", "add-standby"):
             where = text(asked, "address")
-            if not NAME.fullmatch(name):
+            if not NAME_PATTERN.fullmatch(name):
                 raise BadCall(f"name: {name!r}; up to 64 letters, digits and ._- are expected")
             try:
-                address(where, "address")
+                parse_address(where, "address")
             except ValueError as error:
                 raise BadCall(str(error)) from None
 
@@ -276,7 +276,7 @@
                 succeed(caller, voters=config.voters, learners=config.learners, standbys=config.standbys)
 
         now = self.loop.clock.now()
-        self.host.member.order(asked["op"], name, where, done, now, self.within(asked))
+        self.host.member.change_membership(asked["op"], name, where, done, now, self.within(asked))
 
 
 # -- JSON
@@ -299,7 +299,7 @@
         fail(caller, "no-leader", f"{error}: nothing has been changed")
     elif isinstance(error, Compacted):
         fail(caller, "compacted", str(error))
-    elif isinstance(error, Unavailable):
+    elif isinstance(error, OutcomeUnknown):
         fail(caller, "unknown", str(error))
     else:
         fail(caller, "refused", str(error))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -65,7 +65,7 @@
 def drain(harness: Harness) -> None:
     """Drain the dispatcher, and pass the first check for idle connections."""
     harness.service.drain()
-    harness.advance_clock(services.SETTLE + edges.DRAIN_INTERVAL_MS)
+    harness.advance_clock(services.DRAIN_SETTLE_MS + edges.DRAIN_INTERVAL_MS)
 
 
 def long_idle(harness: Harness) -> None:
@@ -129,7 +129,7 @@
                 if asks_first:
                     client.send(echo)
                 harness.service.stop()
-                harness.advance_clock(services.SETTLE + 50)
+                harness.advance_clock(services.DRAIN_SETTLE_MS + 50)
                 if not asks_first:
                     client.send(echo)
                 harness.release_held()
@@ -222,7 +222,7 @@
     def run_to_exit(self, harness: Harness, max_ms: float = 20_000) -> float:
         """Run until the process may exit, and return how long that took, in ms; at most `max_ms`."""
         passed = 0.0
-        while not harness.service.over():
+        while not harness.service.is_over():
             harness.advance_clock(20)
             passed += 20
             self.assertLess(passed, max_ms)
@@ -243,10 +243,10 @@
                     client = harness.client()
                     client.send(job_request("time-lookup", "a"))
                 harness.advance_clock(shutdown.LINGER_MS + 20)
-                self.assertFalse(harness.service.over())
+                self.assertFalse(harness.service.is_over())
                 harness.release_held()
                 harness.run_until(lambda s=harness: s.core.outstanding, "the job")
-                self.assertFalse(harness.service.over())
+                self.assertFalse(harness.service.is_over())
                 complete_job(harness, client, "a")
                 self.run_to_exit(harness)
 
@@ -255,7 +255,7 @@
             clients = [idle_client(harness) for _ in range(5)] + [harness.client() for _ in range(5)]
             harness.service.stop()
             passed = 0.0
-            while not harness.service.over():
+            while not harness.service.is_over():
                 harness.advance_clock(20)
                 passed += 20
                 for client in clients:
@@ -278,11 +278,11 @@
             harness.service.stop()
             harness.advance_clock(shutdown.LINGER_MS + 50)
             while harness.service.http_front.listener.accepting:
-                self.assertFalse(harness.service.over())
+                self.assertFalse(harness.service.is_over())
                 harness.advance_clock(20)
             late.send(pack(Kind.SUBMIT_JOB, b"time-lookup", b"g", b"", magic=b"\0REQ"))
             harness.run_until(lambda: harness.core.outstanding, "the job")
-            self.assertFalse(harness.service.over())
+            self.assertFalse(harness.service.is_over())
             harness.advance_clock(40)
             name = harness.run_until(
                 lambda: [w.name for w in harness.workers if "g" in w.begun()], "it to begin"
--- a/tests/test_may_begin.py
+++ b/tests/test_may_begin.py
@@ -92,7 +92,7 @@
         that is sent all the same would be refused or run in vain."""
 
         def drain(harness: Harness, passes: float) -> None:
-            listed = harness.service.listed
+            listed = harness.service.static_list
             assert listed is not None
             for name in ("w0", "w1"):
                 endpoint = harness.core.endpoints[name]
