--- a/eiderpin/fleet/control_plane.py
+++ b/eiderpin/fleet/control_plane.py
@@ -168,6 +168,6 @@
         if isinstance(call, dict) and call.get("op") == "status":
             answer: dict[str, Any] = {"ok": True, "observer": self.control_plane.status()}
         else:
-            text = "this dispatcher follows the store and is no member of it: call a member's management API"
+            text = "this dispatcher follows the store and is no member of it: ask at a member's door"
             answer = {"ok": False, "kind": "no-leader", "error": text}
         caller.reply(orjson.dumps(answer).decode())
