--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Soak real dispatchers in seeded faults, and print what came of it as JSON; exit 1 where a rule broke.
+"""Run the soak test for some seeds and print the totals as JSON; exits with 1 if a rule was broken.
 
 python -m benchmarks.soak --seeds 1-50 [--at-once 3] [--logs DIRECTORY]
 """
@@ -14,49 +14,49 @@
 from functools import partial
 from pathlib import Path
 
-from benchmarks.soak.run import Result, play
+from benchmarks.soak.run import Result, play_scenario
 
 
-def seeds_of(text: str) -> list[int]:
-    """`7`, `1-50` or `3,9,12`. Raises `ValueError`."""
+def parse_seeds(text: str) -> list[int]:
+    """Parse a list of seeds such as `7`, `1-50` or `3,9,12`. Raises `ValueError`."""
     seeds: list[int] = []
-    for part in text.split(","):
-        first, _, last = part.partition("-")
+    for item in text.split(","):
+        first, _, last = item.partition("-")
         seeds += range(int(first), int(last or first) + 1)
     return seeds
 
 
-def play_one(seed: int, logs: Path | None) -> Result:
-    """One seed, in a process of its own."""
-    keep = logs / str(seed) if logs is not None else None
-    if keep is not None:
-        keep.mkdir(parents=True, exist_ok=True)
-    return play(seed, keep)
+def run_seed(seed: int, logs: Path | None) -> Result:
+    """Run one seed in this process; its dispatchers' logs are kept in a directory of `logs`, if given."""
+    log_directory = logs / str(seed) if logs is not None else None
+    if log_directory is not None:
+        log_directory.mkdir(parents=True, exist_ok=True)
+    return play_scenario(seed, log_directory)
 
 
 def main() -> int:
-    """Play the seeds that are asked for; the exit code."""
+    """Run the requested seeds in parallel processes and return the exit code."""
     parser = argparse.ArgumentParser(prog="benchmarks.soak")
-    parser.add_argument("--seeds", type=seeds_of, default=[1])
+    parser.add_argument("--seeds", type=parse_seeds, default=[1])
     parser.add_argument("--at-once", type=int, default=3)
     parser.add_argument("--logs", type=Path)
     args = parser.parse_args()
     with ProcessPoolExecutor(args.at_once) as pool:
-        results = list(pool.map(partial(play_one, logs=args.logs), args.seeds))
+        results = list(pool.map(partial(run_seed, logs=args.logs), args.seeds))
     for result in results:
         if result.broken:
             print(json.dumps(asdict(result)), file=sys.stderr)
-    broken = [r.seed for r in results if r.broken]
+    broken = [result.seed for result in results if result.broken]
     total = {
         "seeds": len(results),
         "broken_seeds": broken,
-        "requests": sum(r.requests for r in results),
-        "attempts": sum(r.attempts for r in results),
-        "exited": sum(r.exited for r in results),
-        "killed": sum(r.killed for r in results),
-        "crossed": sum(r.crossed for r in results),
-        "answers": sum((Counter(r.answers) for r in results), Counter()),
-        "largest_lag_ms": max(r.lag_ms for r in results),
+        "requests": sum(result.requests for result in results),
+        "attempts": sum(result.attempts for result in results),
+        "exited": sum(result.exited for result in results),
+        "killed": sum(result.killed for result in results),
+        "crossed": sum(result.crossed for result in results),
+        "answers": sum((Counter(result.answers) for result in results), Counter()),
+        "largest_lag_ms": max(result.lag_ms for result in results),
     }
     print(json.dumps(total))
     return 1 if broken else 0
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: real dispatchers, their signals, and what is made of the books."""
+"""One run of the soak test: starts, signals and stops real dispatchers, then checks the observations."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 from benchmarks.rig import BROKEN, ROOT, free_port, http
 from benchmarks.soak import shim
-from benchmarks.soak.books import Books, Process, crossed, judge
-from benchmarks.soak.scenario import SERVERS, Scenario, draw
-from benchmarks.soak.world import SoakClient, SoakServer, crowd, steady, watch_lag
-
-DISPATCHERS = ("d0", "d1")
-READY_WITHIN = 10.0  # s; the operators' term for a restart
-SOCKETS = 192  # descriptors of a dispatcher
-MOST_TIME = 60.0  # s that one seed may take
-AFTER_RESTART = 1.0  # s for which one that was started again serves before its end
-START = (
+from benchmarks.soak.books import Observations, ProcessRecord, count_crossed_requests, find_violations
+from benchmarks.soak.scenario import WORKER_COUNT, Scenario, draw_scenario
+from benchmarks.soak.world import SoakClient, SoakWorker, monotonic_seconds, open_idle_connections, watch_lag
+
+DISPATCHER_NAMES = ("d0", "d1")
+READY_TIMEOUT_SECONDS = 10.0  # within which operators expect a restarted dispatcher to serve
+MAX_SOCKETS = 192  # of a dispatcher
+RUN_TIMEOUT_SECONDS = 60.0  # of one seed
+RESTART_SERVING_SECONDS = 1.0  # for which a restarted dispatcher serves before it is stopped again
+START_CODE = (
     "import benchmarks.soak.shim as shim; shim.install(); import sys, eiderpin.service; "
     "sys.exit(eiderpin.service.main())"
 )
@@ -32,59 +32,71 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one seed came to."""
+    """The result of one seed; the fields are written out as JSON."""
 
     seed: int
     broken: list[str]
     requests: int
     attempts: int
-    exited: int  # processes that ended by themselves before SIGKILL
+    exited: int  # processes that exited after SIGTERM, before SIGKILL
     killed: int
-    crossed: int  # requests that met the end of their connection, unread
+    crossed: int  # requests that were not read because their connection was being closed
     lag_ms: float
     answers: dict[int, int] = field(default_factory=dict)
 
 
 class Dispatcher:
-    """One dispatcher, and the processes that are it one after another."""
+    """One dispatcher, which is run by one process after another."""
 
-    def __init__(self, name: str, folder: Path, scenario: Scenario, books: Books, servers: list[SoakServer]):
-        """Nothing is started yet."""
-        self.name, self.scenario, self.books, self.servers = name, scenario, books, servers
+    def __init__(
+        self,
+        name: str,
+        folder: Path,
+        scenario: Scenario,
+        observations: Observations,
+        workers: list[SoakWorker],
+    ):
+        """Choose the port and the files; no process is started yet."""
+        self.name, self.scenario, self.observations, self.workers = name, scenario, observations, workers
         self.port = free_port()
-        self.config, self.errors = folder / f"{name}.json", folder / f"{name}.log"
+        self.config_path, self.log_path = folder / f"{name}.json", folder / f"{name}.log"
         self.process: subprocess.Popen[bytes] | None = None
-        self.lives = 0
+        self.start_count = 0
 
-    def configure(self, servers: list[SoakServer]) -> None:
-        """Write the configuration, with these servers in its list."""
+    def configure(self, workers: list[SoakWorker]) -> None:
+        """Write the configuration file with these workers in its list; the file is replaced atomically."""
         settings = {
             **self.scenario.settings(),
-            "slot_no": DISPATCHERS.index(self.name),
-            "n_instances": len(DISPATCHERS),
+            "slot_no": DISPATCHER_NAMES.index(self.name),
+            "n_instances": len(DISPATCHER_NAMES),
         }
-        rows = [{"name": s.name, "address": f"127.0.0.1:{s.port}", "slots": 8} for s in servers]
-        said = {"name": self.name, "listen": f"127.0.0.1:{self.port}", "workers": rows, "settings": settings,
-                "limits": {"sockets": SOCKETS, "memory_mb": 64}}  # fmt: skip
-        new = self.config.with_suffix(".new")
-        new.write_text(json.dumps(said))
-        new.rename(self.config)
+        rows = [{"name": s.name, "address": f"127.0.0.1:{s.port}", "slots": 8} for s in workers]
+        configuration = {
+            "name": self.name, "listen": f"127.0.0.1:{self.port}", "workers": rows, "settings": settings,
+            "limits": {"sockets": MAX_SOCKETS, "memory_mb": 64},
+        }  # fmt: skip
+        new_path = self.config_path.with_suffix(".new")
+        new_path.write_text(json.dumps(configuration))
+        new_path.rename(self.config_path)
 
     def start(self) -> None:
-        """Start the next process of this dispatcher."""
-        self.lives += 1
-        faults = {**asdict(self.scenario.faults), "seed": f"{self.scenario.seed} {self.name} {self.lives}"}
-        env = {**os.environ, "GW_CONFIG": str(self.config), "EIDERPIN_LOG_FORMAT": "logfmt",
-               shim.VARIABLE: json.dumps(faults), "SOAK_PORT": str(self.port)}  # fmt: skip
+        """Start the next process of this dispatcher, with faults installed in it."""
+        self.start_count += 1
+        faults = {
+            **asdict(self.scenario.faults),
+            "seed": f"{self.scenario.seed} {self.name} {self.start_count}",
+        }
+        env = {**os.environ, "GW_CONFIG": str(self.config_path), "EIDERPIN_LOG_FORMAT": "logfmt",
+               shim.FAULTS_VARIABLE: json.dumps(faults), "SOAK_PORT": str(self.port)}  # fmt: skip
         env["EIDERPIN_FRONTS"] = os.devnull + ".none"
-        with self.errors.open("ab") as errors:
+        with self.log_path.open("ab") as log_file:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-c", START], cwd=ROOT, env=env, stderr=errors
+                [sys.executable, "-O", "-c", START_CODE], cwd=ROOT, env=env, stderr=log_file
             )
 
-    async def ready(self) -> None:
-        """Raises `TimeoutError`."""
-        async with asyncio.timeout(READY_WITHIN):
+    async def wait_until_ready(self) -> None:
+        """Wait until the dispatcher answers health checks. Raises `TimeoutError`."""
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             while True:
                 with contextlib.suppress(*BROKEN):
                     if (await http(self.port, "GET", "/_health"))[0] == 200:
@@ -92,143 +104,153 @@
                 await asyncio.sleep(0.02)
 
     def kill(self) -> None:
-        """Leave nothing behind, whatever has happened."""
+        """Kill the process if it is still running."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, where the process is there."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def hold(self, seconds: float) -> None:
-        """Stop the process for a while."""
-        self.send(signal.SIGSTOP)
+    async def pause(self, seconds: float) -> None:
+        """Suspend the process for this long by SIGSTOP and SIGCONT."""
+        self.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
-        self.send(signal.SIGCONT)
+        self.send_signal(signal.SIGCONT)
 
-    async def end(self) -> None:
-        """SIGTERM, and SIGKILL at its earliest."""
+    async def stop(self) -> None:
+        """Send SIGTERM, and SIGKILL if the process is still running after `Scenario.kill_after`."""
         assert self.process is not None
-        life = Process(self.name, steady())
-        self.books.processes.append(life)
-        self.send(signal.SIGTERM)
-        while steady() < life.told_at + self.scenario.kill_after:
+        record = ProcessRecord(self.name, monotonic_seconds())
+        self.observations.processes.append(record)
+        self.send_signal(signal.SIGTERM)
+        while monotonic_seconds() < record.sigterm_at + self.scenario.kill_after:
             if self.process.poll() is not None:
                 break
             await asyncio.sleep(0.005)
         if self.process.poll() is None:
             self.process.kill()
-            life.killed_at = steady()
-        life.exit_code = self.process.wait()
-        life.log = self.errors.read_text(errors="replace").splitlines()
+            record.killed_at = monotonic_seconds()
+        record.exit_code = self.process.wait()
+        record.log = self.log_path.read_text(errors="replace").splitlines()
 
 
 class Run:
-    """Plays one scenario."""
+    """One run of a scenario."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
-        """Nothing is started yet."""
+        """Prepare the run; nothing is started yet."""
         self.scenario, self.folder = scenario, folder
-        self.books = Books()
-        self.begun = 0.0
-        self.back: dict[str, int] = {}
-
-    def is_bad(self) -> bool:
-        """Whether the servers' bad time has come."""
-        return bool(self.begun) and steady() > self.begun + self.scenario.bad_from
-
-    async def play(self) -> Result:
-        """Play it to the end. Raises `TimeoutError` where that takes too long."""
-        names = [f"s{i}" for i in range(SERVERS)]
-        servers = [SoakServer(n, self.scenario, self.books, self.is_bad, self.back) for n in names]
-        for server in servers:
-            await server.start()
-        made = [Dispatcher(name, self.folder, self.scenario, self.books, servers) for name in DISPATCHERS]
-        self.back |= {d.name: d.port for d in made}
+        self.observations = Observations()
+        self.started_at = 0.0
+        self.callback_ports: dict[str, int] = {}
+
+    def workers_misbehave(self) -> bool:
+        """Whether the time has come from which on workers misbehave."""
+        return bool(self.started_at) and monotonic_seconds() > self.started_at + self.scenario.misbehaves_from
+
+    async def run(self) -> Result:
+        """Run the scenario to its end. Raises `TimeoutError` after `RUN_TIMEOUT_SECONDS`."""
+        names = [f"s{i}" for i in range(WORKER_COUNT)]
+        workers = [
+            SoakWorker(n, self.scenario, self.observations, self.workers_misbehave, self.callback_ports)
+            for n in names
+        ]
+        for worker in workers:
+            await worker.start()
+        dispatchers = [
+            Dispatcher(name, self.folder, self.scenario, self.observations, workers)
+            for name in DISPATCHER_NAMES
+        ]
+        self.callback_ports |= {d.name: d.port for d in dispatchers}
         try:
-            async with asyncio.timeout(MOST_TIME):
-                await self.play_on(made, servers)
+            async with asyncio.timeout(RUN_TIMEOUT_SECONDS):
+                await self.run_dispatchers(dispatchers, workers)
         finally:
-            for dispatcher in made:
+            for dispatcher in dispatchers:
                 dispatcher.kill()
-        for server in servers:
-            if server.server is not None:
-                server.server.close()
-            server.hang_up()
-        return self.result()
-
-    async def play_on(self, made: list[Dispatcher], servers: list[SoakServer]) -> None:
-        """From the start of all dispatchers to the end of the last."""
-        for dispatcher in made:
-            dispatcher.configure(servers)
+        for worker in workers:
+            if worker.server is not None:
+                worker.server.close()
+            worker.hang_up()
+        return self.build_result()
+
+    async def run_dispatchers(self, dispatchers: list[Dispatcher], workers: list[SoakWorker]) -> None:
+        """Start all dispatchers and return once each has been stopped."""
+        for dispatcher in dispatchers:
+            dispatcher.configure(workers)
             dispatcher.start()
-        await asyncio.gather(*(d.ready() for d in made))
-        lag = asyncio.create_task(watch_lag(self.books))
-        self.begun = steady()
-        await asyncio.gather(*(self.trouble(d) for d in made))
-        lag.cancel()
-
-    async def trouble(self, dispatcher: Dispatcher) -> None:
-        """One dispatcher's clients and signals, up to its last end."""
+        await asyncio.gather(*(d.wait_until_ready() for d in dispatchers))
+        lag_task = asyncio.create_task(watch_lag(self.observations))
+        self.started_at = monotonic_seconds()
+        await asyncio.gather(*(self.run_dispatcher(d) for d in dispatchers))
+        lag_task.cancel()
+
+    async def run_dispatcher(self, dispatcher: Dispatcher) -> None:
+        """Run the clients of one dispatcher and signal it, until it has been stopped for the last time."""
         clients = [
-            SoakClient(i, dispatcher.name, self.scenario, self.books, dispatcher.port)
+            SoakClient(i, dispatcher.name, self.scenario, self.observations, dispatcher.port)
             for i in range(self.scenario.clients)
         ]
         tasks = [asyncio.create_task(client.run()) for client in clients]
-        idle = await crowd(dispatcher.port, self.scenario.crowd)
-        signals = asyncio.create_task(self.signals(dispatcher))
-        holds = asyncio.create_task(self.holds(dispatcher))
-        await self.until(self.scenario.term_at)
-        await dispatcher.end()
-        signals.cancel()
-        holds.cancel()
+        idle_writers = await open_idle_connections(dispatcher.port, self.scenario.idle_connections)
+        signal_task = asyncio.create_task(self.send_signals(dispatcher))
+        pause_task = asyncio.create_task(self.pause_repeatedly(dispatcher))
+        await self.sleep_until(self.scenario.sigterm_at)
+        await dispatcher.stop()
+        signal_task.cancel()
+        pause_task.cancel()
         if self.scenario.restarts:
             dispatcher.start()
-            await dispatcher.ready()
-            await asyncio.sleep(AFTER_RESTART)
-            await dispatcher.end()
+            await dispatcher.wait_until_ready()
+            await asyncio.sleep(RESTART_SERVING_SECONDS)
+            await dispatcher.stop()
         for client in clients:
-            client.going = False
+            client.is_running = False
         await asyncio.gather(*tasks)
-        for writer in idle:
+        for writer in idle_writers:
             writer.close()
 
-    async def until(self, at: float) -> None:
-        """Wait until so many seconds have passed since the begin."""
-        await asyncio.sleep(max(0.0, self.begun + at - steady()))
+    async def sleep_until(self, at: float) -> None:
+        """Wait until this many seconds after the start of the run."""
+        await asyncio.sleep(max(0.0, self.started_at + at - monotonic_seconds()))
 
-    async def signals(self, dispatcher: Dispatcher) -> None:
-        """The further signals; a configuration in between withdraws a server."""
-        left = list(dispatcher.servers)
+    async def send_signals(self, dispatcher: Dispatcher) -> None:
+        """Send the further signals; with a SIGHUP, one worker is removed from the configuration."""
+        listed = list(dispatcher.workers)
         for at, name in self.scenario.signals:
-            await self.until(at)
-            if name == "SIGHUP" and len(left) > 2:
-                gone = left.pop()
-                dispatcher.configure(left)
-                dispatcher.send(signal.SIGHUP)
-                self.books.withdrawn.setdefault((dispatcher.name, gone.name), steady())
+            await self.sleep_until(at)
+            if name == "SIGHUP" and len(listed) > 2:
+                removed = listed.pop()
+                dispatcher.configure(listed)
+                dispatcher.send_signal(signal.SIGHUP)
+                self.observations.withdrawn.setdefault((dispatcher.name, removed.name), monotonic_seconds())
             else:
-                dispatcher.send(signal.Signals[name])
+                dispatcher.send_signal(signal.Signals[name])
 
-    async def holds(self, dispatcher: Dispatcher) -> None:
-        """Stop the process now and then."""
-        for at, seconds in self.scenario.holds:
-            await self.until(at)
-            await dispatcher.hold(seconds)
+    async def pause_repeatedly(self, dispatcher: Dispatcher) -> None:
+        """Suspend the process at the times of the scenario."""
+        for at, seconds in self.scenario.pauses:
+            await self.sleep_until(at)
+            await dispatcher.pause(seconds)
 
-    def result(self) -> Result:
-        """What the books come to."""
-        killed = sum(p.killed_at is not None for p in self.books.processes)
+    def build_result(self) -> Result:
+        """Check the observations and summarize them."""
+        killed = sum(p.killed_at is not None for p in self.observations.processes)
         return Result(
-            self.scenario.seed, judge(self.books), len(self.books.requests), len(self.books.attempts),
-            len(self.books.processes) - killed, killed, crossed(self.books),
-            round(self.books.lag * 1000, 1), self.books.answers,
+            self.scenario.seed, find_violations(self.observations),
+            len(self.observations.requests), len(self.observations.attempts),
+            len(self.observations.processes) - killed, killed, count_crossed_requests(self.observations),
+            round(self.observations.max_lag_seconds * 1000, 1), self.observations.answers,
         )  # fmt: skip
 
 
-def play(seed: int, keep: Path | None = None) -> Result:
-    """Play one seed. `keep`: where the dispatchers' logs stay; else they go."""
+def play_scenario(seed: int, log_directory: Path | None = None) -> Result:
+    """Run the scenario of one seed.
+
+    The dispatchers' files, among them their logs, are kept in `log_directory` if it is given, else deleted.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Run(draw(seed), keep or Path(folder)).play())
+        return asyncio.run(Run(draw_scenario(seed), log_directory or Path(folder)).run())
--- a/benchmarks/soak/scenario.py
+++ b/benchmarks/soak/scenario.py
@@ -1,4 +1,4 @@
-"""What one seed plays: a pure draw, the same for the same seed."""
+"""The scenario of a seed: drawn at random, and always the same for the same seed."""
 
 from __future__ import annotations
 
@@ -7,63 +7,69 @@
 from enum import Enum
 from typing import Any
 
-KILL_AFTER_LONGEST = 0.7  # s past the longest deadline, after SIGTERM, at which SIGKILL comes ...
-LONGEST_COUNTED = 3.0  # ... and of that deadline so much counts at most
-SERVERS = 6
+# SIGKILL follows SIGTERM after the longest deadline of a class, of which at most MAX_COUNTED_DEADLINE_SECONDS
+# count, and this margin.
+KILL_MARGIN_SECONDS = 0.7
+MAX_COUNTED_DEADLINE_SECONDS = 3.0
+WORKER_COUNT = 6
 
 
 class Behaviour(Enum):
-    """What a server does with an attempt."""
+    """What a worker does with an attempt."""
 
     SERVES = "serves"
-    HANGS_SILENT = "hangs_silent"  # takes the bytes, and says nothing
-    HANGS_ACCEPTED = "hangs_accepted"  # says 202, and nothing more
-    HANGS_STARTED = "hangs_started"  # tells of the start, and nothing more
-    DECLINES = "declines"  # turns it away unstarted
-    FAILS = "fails"
-    RESETS = "resets"  # closes the connection once the request has come
+    HANGS_SILENT = "hangs_silent"  # reads the request and never answers
+    HANGS_ACCEPTED = "hangs_accepted"  # answers 202 and sends nothing after that
+    HANGS_STARTED = "hangs_started"  # reports the start and sends nothing after that
+    DECLINES = "declines"  # rejects the attempt without starting it
+    FAILS = "fails"  # answers 500
+    RESETS = "resets"  # closes the connection once the request has been received
 
 
 @dataclass(slots=True, frozen=True)
 class CallFaults:
-    """How often system calls of a dispatcher fail, and when: seconds from its start."""
+    """How often system calls of a dispatcher fail, and when (in seconds from the start of its process)."""
 
-    rate: float = 0.0
+    rate: float = 0.0  # share of the calls that fail, from `begins` to `ends`
     begins: float = 0.0
     ends: float = 0.0
-    short: bool = False  # reads and writes take a few bytes at a time
-    steps: bool = False  # the wall clock steps by seconds or an hour, either way
+    short: bool = False  # reads and writes transfer only a few bytes at a time
+    steps: bool = False  # the wall clock steps forwards and backwards by seconds or by an hour
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """One run: all times are seconds from its begin, on the steady clock."""
+    """One run. Times are seconds since its start, on the monotonic clock, unless named otherwise."""
 
     seed: int
-    deadlines: dict[str, float]  # ms by class
-    term_at: float
-    restarts: bool  # killed, it is started again and ended once more
-    clients: int
-    crowd: int  # idle connections to each dispatcher
-    weights: dict[Behaviour, float]  # of servers' behaviours in the bad time, which begins before SIGTERM
-    bad_from: float
-    leave_share: float  # of requests whose client leaves early
-    signals: list[tuple[float, str]] = field(default_factory=list)  # further signals, by name
-    holds: list[tuple[float, float]] = field(default_factory=list)  # SIGSTOP at, and for how long
+    deadlines_ms: dict[str, float]  # by class
+    sigterm_at: float
+    restarts: bool  # each dispatcher is started again after its end, and stopped once more
+    clients: int  # of each dispatcher
+    idle_connections: int  # to each dispatcher
+    behaviour_weights: dict[
+        Behaviour, float
+    ]  # how likely workers are to behave so, from `misbehaves_from` on
+    misbehaves_from: float  # until then workers serve every attempt; before SIGTERM
+    leave_share: float  # of the requests, those whose client closes without waiting for the answer
+    signals: list[tuple[float, str]] = field(default_factory=list)  # further signals: when, and the name
+    pauses: list[tuple[float, float]] = field(default_factory=list)  # by SIGSTOP: when, and for how long
     faults: CallFaults = CallFaults()
 
     @property
     def kill_after(self) -> float:
-        """Seconds from SIGTERM to SIGKILL."""
-        return min(max(self.deadlines.values()) / 1000.0, LONGEST_COUNTED) + KILL_AFTER_LONGEST
+        """Return the seconds from SIGTERM to SIGKILL."""
+        return (
+            min(max(self.deadlines_ms.values()) / 1000.0, MAX_COUNTED_DEADLINE_SECONDS) + KILL_MARGIN_SECONDS
+        )
 
     def settings(self) -> dict[str, Any]:
-        """The deployment's settings, in the configuration's form."""
+        """Return the settings of the deployment as in the configuration file."""
         return {
             "classes": [
-                {"name": "time-lookup", "aim": 250.0, "hard_limit": self.deadlines["time-lookup"],
+                {"name": "time-lookup", "aim": 250.0, "hard_limit": self.deadlines_ms["time-lookup"],
                  "late_worth": 0.5, "importance": 5, "repeat": "free"},
-                {"name": "result-post", "aim": 500.0, "hard_limit": self.deadlines["result-post"],
+                {"name": "result-post", "aim": 500.0, "hard_limit": self.deadlines_ms["result-post"],
                  "late_worth": 0.5, "importance": 8, "repeat": "single_shot"},
             ],
             "family_info": {"tells_start": True, "progress": 1000.0},
@@ -75,26 +81,30 @@
         }  # fmt: skip
 
 
-def draw(seed: int) -> Scenario:
-    """The scenario of this seed."""
+def draw_scenario(seed: int) -> Scenario:
+    """Draw the scenario of this seed."""
     rng = random.Random(f"soak {seed}")
-    deadlines = rng.choice(
+    deadlines_ms = rng.choice(
         [
             {"time-lookup": 7500.0, "result-post": 25_000.0},
             {"time-lookup": 2000.0, "result-post": 2500.0},
             {"time-lookup": 800.0, "result-post": 600.0},
         ]
     )
-    term_at = rng.uniform(1.0, 1.8)
-    end = term_at + min(max(deadlines.values()) / 1000.0, LONGEST_COUNTED) + KILL_AFTER_LONGEST
+    sigterm_at = rng.uniform(1.0, 1.8)
+    end = (
+        sigterm_at
+        + min(max(deadlines_ms.values()) / 1000.0, MAX_COUNTED_DEADLINE_SECONDS)
+        + KILL_MARGIN_SECONDS
+    )
     hangs = rng.choice([Behaviour.HANGS_SILENT, Behaviour.HANGS_ACCEPTED, Behaviour.HANGS_STARTED])
-    weights = dict.fromkeys(Behaviour, 0.05)
-    weights[Behaviour.SERVES] = 0.4
-    weights[hangs] = rng.choice([0.1, 0.5, 1.5])
+    behaviour_weights = dict.fromkeys(Behaviour, 0.05)
+    behaviour_weights[Behaviour.SERVES] = 0.4
+    behaviour_weights[hangs] = rng.choice([0.1, 0.5, 1.5])
     names = ("SIGHUP", "SIGUSR1", "SIGTERM", "SIGINT")
-    after = [(rng.uniform(term_at + 0.01, end - 0.1), rng.choice(names)) for _ in range(rng.randrange(6))]
-    before = [(rng.uniform(0.2, term_at), rng.choice(names[:2])) for _ in range(rng.randrange(3))]
-    holds = [(rng.uniform(0.3, end - 0.5), rng.uniform(0.03, 0.12)) for _ in range(rng.choice([0, 0, 2, 4]))]
+    after = [(rng.uniform(sigterm_at + 0.01, end - 0.1), rng.choice(names)) for _ in range(rng.randrange(6))]
+    before = [(rng.uniform(0.2, sigterm_at), rng.choice(names[:2])) for _ in range(rng.randrange(3))]
+    pauses = [(rng.uniform(0.3, end - 0.5), rng.uniform(0.03, 0.12)) for _ in range(rng.choice([0, 0, 2, 4]))]
     faults = CallFaults(
         rate=rng.choice([0.0, 0.02, 0.1, 0.3]),
         begins=rng.uniform(0.2, 1.0),
@@ -104,15 +114,15 @@
     )
     return Scenario(
         seed=seed,
-        deadlines=deadlines,
-        term_at=term_at,
+        deadlines_ms=deadlines_ms,
+        sigterm_at=sigterm_at,
         restarts=rng.random() < 0.5,
         clients=rng.choice([6, 12, 24]),
-        crowd=rng.choice([0, 0, 0, 250]),
-        weights=weights,
-        bad_from=max(0.3, term_at - rng.uniform(0.0, 0.6)),
+        idle_connections=rng.choice([0, 0, 0, 250]),
+        behaviour_weights=behaviour_weights,
+        misbehaves_from=max(0.3, sigterm_at - rng.uniform(0.0, 0.6)),
         leave_share=rng.choice([0.0, 0.05, 0.2]),
         signals=sorted(before + after),
-        holds=sorted(holds),
+        pauses=sorted(pauses),
         faults=faults,
     )
--- a/benchmarks/soak/shim.py
+++ b/benchmarks/soak/shim.py
@@ -1,8 +1,9 @@
-"""Faults below a dispatcher's system calls, put in before it starts; seeded.
+"""Seeded faults of a dispatcher's system calls and wall clock, installed in its process before it starts.
 
-Only what Linux documents for the call, and only where it tells the truth: a shortage (ENOBUFS, ENOMEM,
-ENFILE) concerns any socket, the loss of a connection (ETIMEDOUT, EHOSTUNREACH) only those that were made to
-servers, since clients of the soak do not lose theirs."""
+A call fails only with errors that Linux documents for it, and only where they can be true: a shortage
+(ENOBUFS, ENOMEM, ENFILE) can occur on any socket, the loss of a connection (ETIMEDOUT, EHOSTUNREACH) only on
+connections to workers, as the clients of the soak test do not lose theirs.
+"""
 
 from __future__ import annotations
 
@@ -15,105 +16,110 @@
 from collections.abc import Callable
 from typing import Any
 
-VARIABLE = "SOAK_FAULTS"  # JSON: seed, rate, begins, ends, short, steps
-ACCEPT = (
+FAULTS_VARIABLE = "SOAK_FAULTS"  # JSON: seed, rate, begins, ends, short, steps
+ACCEPT_ERRORS = (
     errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO, errno.ENETDOWN,
 )  # fmt: skip
-CONNECT = (
+CONNECT_ERRORS = (
     errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EINTR, errno.ENOBUFS,
 )  # fmt: skip
-SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
-LOSSES = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
-LOSS_SHARE = 0.02  # of the faults of a connection to a server, those that are its end
-STEPS = (-3600.0, -5.0, -1.0, 0.0, 1.0, 5.0, 3600.0)  # s by which the wall clock may be off
-STEP_EVERY = 0.4  # s
+SHORTAGE_ERRORS = (errno.ENOBUFS, errno.ENOMEM)
+LOSS_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
+LOSS_SHARE = 0.02  # factor on the fault rate, for the loss of a connection to a worker
+CLOCK_STEPS_SECONDS = (-3600.0, -5.0, -1.0, 0.0, 1.0, 5.0, 3600.0)  # offsets of the stepped wall clock
+CLOCK_STEP_INTERVAL_SECONDS = 0.4
 
 
-class Faults:
-    """Replaces the calls of `socket.socket` and `time.time` in this process."""
+class SystemCallFaults:
+    """Wraps the calls of `socket.socket` in this process so that some of them fail.
 
-    def __init__(self, said: dict[str, Any]) -> None:
-        """Nothing is started yet."""
-        self.rng = random.Random(said["seed"])
-        self.rate, self.short = float(said["rate"]), bool(said["short"])
-        self.begins, self.ends = float(said["begins"]), float(said["ends"])
-        self.begun = time.monotonic()
+    Args:
+        faults: The fields of `CallFaults`, and the seed.
+    """
 
-    def due(self, share: float = 1.0) -> bool:
-        """Whether this call fails."""
-        passed = time.monotonic() - self.begun
-        return self.begins <= passed <= self.ends and self.rng.random() < self.rate * share
+    def __init__(self, faults: dict[str, Any]) -> None:
+        """Install nothing yet; the times of the faults count from now."""
+        self.rng = random.Random(faults["seed"])
+        self.rate, self.short = float(faults["rate"]), bool(faults["short"])
+        self.begins, self.ends = float(faults["begins"]), float(faults["ends"])
+        self.started_at = time.monotonic()
+
+    def is_fault_due(self, share: float = 1.0) -> bool:
+        """Draw whether the current call fails; `share` is a factor on the fault rate."""
+        elapsed_seconds = time.monotonic() - self.started_at
+        return self.begins <= elapsed_seconds <= self.ends and self.rng.random() < self.rate * share
 
     def install(self) -> None:
-        """Put the faults below the calls."""
+        """Replace the calls of `socket.socket`."""
         calls: dict[str, Callable[[Callable[..., Any]], Callable[..., Any]]] = {
-            "accept": self._accept, "connect_ex": self._connect, "recv": self._receive, "send": self._send,
+            "accept": self._wrap_accept, "connect_ex": self._wrap_connect,
+            "recv": self._wrap_recv, "send": self._wrap_send,
         }  # fmt: skip
-        for name, made in calls.items():
-            setattr(socket.socket, name, made(getattr(socket.socket, name)))
+        for name, wrap in calls.items():
+            setattr(socket.socket, name, wrap(getattr(socket.socket, name)))
 
-    def _accept(self, original: Callable[..., Any]) -> Callable[..., Any]:
+    def _wrap_accept(self, original: Callable[..., Any]) -> Callable[..., Any]:
         def accept(sock: socket.socket) -> Any:
-            if self.due():
-                raise OSError(self.rng.choice(ACCEPT), "accept")
+            if self.is_fault_due():
+                raise OSError(self.rng.choice(ACCEPT_ERRORS), "accept")
             return original(sock)
 
         return accept
 
-    def _connect(self, original: Callable[..., Any]) -> Callable[..., Any]:
+    def _wrap_connect(self, original: Callable[..., Any]) -> Callable[..., Any]:
         def connect_ex(sock: socket.socket, address: Any) -> int:
-            number = self.rng.choice(CONNECT) if self.due() else 0
-            if number and number != errno.EINTR:
-                return number
-            found = int(original(sock, address))
-            return errno.EINTR if number and found == errno.EINPROGRESS else found
+            error_number = self.rng.choice(CONNECT_ERRORS) if self.is_fault_due() else 0
+            if error_number and error_number != errno.EINTR:
+                return error_number
+            result = int(original(sock, address))
+            return errno.EINTR if error_number and result == errno.EINPROGRESS else result
 
         return connect_ex
 
-    def _fail(self, sock: socket.socket, call: str) -> None:
-        if self.due():
-            raise OSError(self.rng.choice(SHORTAGES), call)
-        if self._is_outgoing(sock) and self.due(LOSS_SHARE):
-            raise OSError(self.rng.choice(LOSSES), call)
+    def _raise_if_due(self, sock: socket.socket, call_name: str) -> None:
+        if self.is_fault_due():
+            raise OSError(self.rng.choice(SHORTAGE_ERRORS), call_name)
+        if self._is_outgoing(sock) and self.is_fault_due(LOSS_SHARE):
+            raise OSError(self.rng.choice(LOSS_ERRORS), call_name)
 
     @staticmethod
     def _is_outgoing(sock: socket.socket) -> bool:
-        """Whether it was made to a server: those listen in the other half of the ports."""
+        """Whether this is a connection to a worker; connections from clients have the dispatcher's port."""
         try:
             return bool(sock.getsockname()[1] != int(os.environ["SOAK_PORT"]))
         except OSError:
             return False
 
-    def _receive(self, original: Callable[..., Any]) -> Callable[..., Any]:
+    def _wrap_recv(self, original: Callable[..., Any]) -> Callable[..., Any]:
         def recv(sock: socket.socket, size: int, flags: int = 0) -> Any:
             if not flags:
-                self._fail(sock, "recv")
+                self._raise_if_due(sock, "recv")
             return original(sock, min(size, 1 + self.rng.randrange(40)) if self.short else size, flags)
 
         return recv
 
-    def _send(self, original: Callable[..., Any]) -> Callable[..., Any]:
+    def _wrap_send(self, original: Callable[..., Any]) -> Callable[..., Any]:
         def send(sock: socket.socket, data: Any) -> Any:
-            self._fail(sock, "send")
+            self._raise_if_due(sock, "send")
             return original(sock, bytes(data[: 1 + self.rng.randrange(40)]) if self.short else data)
 
         return send
 
 
-def install_steps() -> None:
-    """Let the wall clock step, again and again."""
-    real, begun = time.time, time.monotonic()
+def install_clock_steps() -> None:
+    """Replace `time.time` by a clock that steps forwards and backwards."""
+    real_time, started_at = time.time, time.monotonic()
 
-    def stepping() -> float:
-        turn = int((time.monotonic() - begun) / STEP_EVERY)
-        return real() + STEPS[turn * 5 % len(STEPS)]
+    def stepped_time() -> float:
+        step_number = int((time.monotonic() - started_at) / CLOCK_STEP_INTERVAL_SECONDS)
+        return real_time() + CLOCK_STEPS_SECONDS[step_number * 5 % len(CLOCK_STEPS_SECONDS)]
 
-    time.time = stepping
+    time.time = stepped_time
 
 
 def install() -> None:
-    """Put in what the environment names."""
-    said = json.loads(os.environ[VARIABLE])
-    Faults(said).install()
-    if said["steps"]:
-        install_steps()
+    """Install the faults that the environment variable `FAULTS_VARIABLE` describes."""
+    faults = json.loads(os.environ[FAULTS_VARIABLE])
+    SystemCallFaults(faults).install()
+    if faults["steps"]:
+        install_clock_steps()
