--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,4 +1,4 @@
-"""How the program bears size: slopes of costs, the figures of docs/CAPACITY.md, runs with many dispatchers.
+"""Scale benchmarks: the growth of each cost, the figures of docs/CAPACITY.md, runs with many dispatchers.
 
 python -m benchmarks.scale slopes --out FILE
 python -m benchmarks.scale page --from FILE
--- a/benchmarks/scale/bad_input.py
+++ b/benchmarks/scale/bad_input.py
@@ -1,4 +1,4 @@
-"""Malformed and hostile clients at a member's port for observers, and how soon each is ended."""
+"""Malformed and hostile clients at a member's port for observers, and how soon they are disconnected."""
 
 from __future__ import annotations
 
@@ -14,97 +14,101 @@
 from eiderpin.store.framing import FrameDecoder, encode_frame
 from eiderpin.store.observer_protocol import FROM_MEMBER, MAGIC, VERSION, Pong, Rejected, Subscribe
 
-WAIT = 8.0  # s for an end, before it is said that there was none
+END_TIMEOUT_SECONDS = 8.0  # for which a client waits for the end of its connection
 SILENT_CLIENTS = 2_000
-GIGABYTE = 1 << 30
+OVERSIZED_FRAME_BYTES = 1 << 30
 
 
-class Ended(msgspec.Struct):
-    """How a client's connection ended. `ended_s` None: not within `WAIT`; `kind`: of a `Rejected`, or ''."""
+class ConnectionEnd(msgspec.Struct):
+    """How a client's connection end."""
 
-    ended_s: float | None
-    kind: str = ""
+    ended_s: float | None  # seconds until its end; None if it did not end within `END_TIMEOUT_SECONDS`
+    kind: str = ""  # of the `Rejected` message, if there was one
 
 
-def subscribe(name: str, **changed: Any) -> bytes:
-    """The beginning of a good observer, with some fields changed."""
-    asked = Subscribe(VERSION, "c1", name, "0123456789abcdef", 1)
-    return MAGIC + encode_frame(msgspec.structs.replace(asked, **changed))
+def encode_subscribe(name: str, **changes: Any) -> bytes:
+    """Encode the first bytes of a valid observer, with some fields of its `Subscribe` replaced."""
+    message = Subscribe(VERSION, "c1", name, "0123456789abcdef", 1)
+    return MAGIC + encode_frame(msgspec.structs.replace(message, **changes))
 
 
-def client(host: str, port: int, said: bytes, reads: bool = True) -> Ended:
-    """Send these bytes, then wait for the connection to end."""
+def run_client(host: str, port: int, data: bytes, reads: bool = True) -> ConnectionEnd:
+    """Send these bytes and wait for the end of the connection; read from it only if `reads`."""
     with socket.create_connection((host, port), 5.0) as sock:
-        begun = time.monotonic()
-        sock.sendall(said)
+        started_at = time.monotonic()
+        sock.sendall(data)
         frames, kind = FrameDecoder(b""), ""
-        while (left := begun + WAIT - time.monotonic()) > 0:
-            if not reads:  # an end is seen without reading
+        while (remaining := started_at + END_TIMEOUT_SECONDS - time.monotonic()) > 0:
+            if not reads:  # detect the end by polling
                 poll = select.poll()
                 poll.register(sock, select.POLLRDHUP | select.POLLHUP | select.POLLERR)
-                if poll.poll(left * 1000.0):
-                    return Ended(time.monotonic() - begun, kind)
+                if poll.poll(remaining * 1000.0):
+                    return ConnectionEnd(time.monotonic() - started_at, kind)
                 continue
-            sock.settimeout(left)
+            sock.settimeout(remaining)
             try:
-                data = sock.recv(1 << 16)
+                received = sock.recv(1 << 16)
             except TimeoutError:
                 break
             except ConnectionError:
-                data = b""
-            for body in frames.feed(data):
+                received = b""
+            for body in frames.feed(received):
                 message = FROM_MEMBER.decode(body)
                 if isinstance(message, Rejected):
                     kind = message.kind
-            if not data:
-                return Ended(time.monotonic() - begun, kind)
-    return Ended(None, kind)
+            if not received:
+                return ConnectionEnd(time.monotonic() - started_at, kind)
+    return ConnectionEnd(None, kind)
 
 
-def silent(host: str, port: int) -> Ended:
-    """Very many connections that say nothing: when the last of them has ended."""
+def run_silent_clients(host: str, port: int) -> ConnectionEnd:
+    """Open `SILENT_CLIENTS` connections that send nothing, and wait until the last of them has end."""
     socks: list[socket.socket] = []
     try:
         for _ in range(SILENT_CLIENTS):
             socks.append(socket.create_connection((host, port), 5.0))
-        left = {sock.fileno() for sock in socks}
+        remaining = {sock.fileno() for sock in socks}
         poll = select.poll()
-        for number in left:
+        for number in remaining:
             poll.register(number, select.POLLRDHUP | select.POLLHUP | select.POLLERR)
-        opened = time.monotonic()
-        while left and time.monotonic() < opened + WAIT:
+        opened_at = time.monotonic()
+        while remaining and time.monotonic() < opened_at + END_TIMEOUT_SECONDS:
             for number, _ in poll.poll(100.0):
                 poll.unregister(number)
-                left.discard(number)
-        return Ended(time.monotonic() - opened if not left else None)
+                remaining.discard(number)
+        return ConnectionEnd(time.monotonic() - opened_at if not remaining else None)
     finally:
         for sock in socks:
             sock.close()
 
 
-CASES: dict[str, Callable[[str, int], Ended]] = {
-    "garbage": lambda host, port: client(host, port, b"GET / HTTP/1.1\r\n\r\n"),
-    "oversized frame": lambda host, port: client(host, port, MAGIC + struct.pack(">I", GIGABYTE)),
-    "no message": lambda host, port: client(host, port, MAGIC + struct.pack(">I", 3) + b"\xc1\xc1\xc1"),
-    "no Subscribe": lambda host, port: client(host, port, MAGIC + encode_frame(Pong(1))),
-    "a revision from the future": lambda host, port: client(
-        host, port, subscribe("bad-1", floor_generation=1, floor_revision=1 << 40)
+CASES: dict[str, Callable[[str, int], ConnectionEnd]] = {
+    "garbage": lambda host, port: run_client(host, port, b"GET / HTTP/1.1\r\n\r\n"),
+    "oversized frame": lambda host, port: run_client(
+        host, port, MAGIC + struct.pack(">I", OVERSIZED_FRAME_BYTES)
     ),
-    "another cluster": lambda host, port: client(host, port, subscribe("bad-2", cluster="other")),
-    "a later generation than the member's": lambda host, port: client(
-        host, port, subscribe("bad-3", floor_generation=9, floor_revision=1)
+    "no message": lambda host, port: run_client(host, port, MAGIC + struct.pack(">I", 3) + b"\xc1\xc1\xc1"),
+    "no Subscribe": lambda host, port: run_client(host, port, MAGIC + encode_frame(Pong(1))),
+    "a revision from the future": lambda host, port: run_client(
+        host, port, encode_subscribe("bad-1", floor_generation=1, floor_revision=1 << 40)
     ),
-    "half a message": lambda host, port: client(host, port, subscribe("bad-4")[:-5]),
-    "subscribes and never reads": lambda host, port: client(host, port, subscribe("bad-5"), reads=False),
-    "2,000 that say nothing": silent,
+    "another cluster": lambda host, port: run_client(host, port, encode_subscribe("bad-2", cluster="other")),
+    "a later generation than the member's": lambda host, port: run_client(
+        host, port, encode_subscribe("bad-3", floor_generation=9, floor_revision=1)
+    ),
+    "half a message": lambda host, port: run_client(host, port, encode_subscribe("bad-4")[:-5]),
+    "subscribes and never reads": lambda host, port: run_client(
+        host, port, encode_subscribe("bad-5"), reads=False
+    ),
+    "2,000 that say nothing": run_silent_clients,
 }
 
 
-def play(host: str, port: int) -> dict[str, dict[str, Any]]:
-    """All cases, one after the other."""
+def run_cases(host: str, port: int) -> dict[str, dict[str, Any]]:
+    """Run all cases, one after another, against one member."""
     found = {}
     for what, case in CASES.items():
-        ended = case(host, port)
-        seconds = round(ended.ended_s, 2) if ended.ended_s is not None else None
-        found[what] = {"ended_s": seconds, "kind": ended.kind}
+        end = case(host, port)
+        seconds = round(end.ended_s, 2) if end.ended_s is not None else None
+        found[what] = {"ended_s": seconds, "kind": end.kind}
     return found
--- a/benchmarks/scale/measurement.py
+++ b/benchmarks/scale/measurement.py
@@ -1,4 +1,4 @@
-"""Points, repeated, and the straight line through them."""
+"""Measured series of points, each point repeated, and the straight line fitted to them."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class Series(msgspec.Struct):
-    """One cost against one size.
+    """One cost as a function of one size.
 
     Attributes:
         name: What was measured, as `part.cost`.
-        unit: Of the values.
-        against: What the sizes are.
-        sizes: The sizes, in order.
-        values: For each size one value a repeat.
-        slope: The median over the repeats of the least-squares slope, in units a size.
+        unit: The unit of the values.
+        against: What the sizes count.
+        sizes: The sizes, in ascending order.
+        values: For each size, one value per repeat.
+        slope: The median over the repeats of the least-squares slope, in units per size.
         slope_low, slope_high: The lowest and the highest slope of a repeat.
-        intercept: The median over the repeats.
+        intercept: The median over the repeats of the intercept.
     """
 
     name: str
@@ -39,11 +39,11 @@
     intercept: float = 0.0
 
     def at(self, size: float) -> float:
-        """The fitted value at a size."""
+        """Return the fitted value at a size."""
         return self.intercept + self.slope * size
 
     def fit(self) -> Series:
-        """Set the slope and its spread from the values."""
+        """Set the slope, its range and the intercept from the values, and return the series."""
         if len(self.sizes) < 2:
             self.intercept = float(np.median(self.values[0]))
             return self
@@ -57,7 +57,7 @@
 
 
 class Machine(msgspec.Struct):
-    """Where a run was made."""
+    """The machine on which a run was made."""
 
     cores: int
     memory_gb: float
@@ -66,7 +66,7 @@
 
 
 class Run(msgspec.Struct):
-    """All that one run of `slopes` has measured."""
+    """Everything that one run of `slopes` has measured."""
 
     machine: Machine
     repeats: int
@@ -74,15 +74,15 @@
     scale: list[dict[str, object]] = []  # results of `run`
 
     def get(self, name: str) -> Series:
-        """The series of this name. Raises `KeyError`."""
+        """Return the series of this name. Raises `KeyError`."""
         for series in self.series:
             if series.name == name:
                 return series
         raise KeyError(name)
 
 
-def this_machine() -> Machine:
-    """The machine that this runs on."""
+def describe_machine() -> Machine:
+    """Describe the machine that this process runs on."""
     pages = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     return Machine(
         os.cpu_count() or 1, round(pages / (1 << 30), 1), platform.python_version(), platform.system()
@@ -90,18 +90,18 @@
 
 
 def read_run(path: Path) -> Run:
-    """Raises `OSError` and `msgspec.MsgspecError`."""
+    """Read a run from its file. Raises `OSError` and `msgspec.MsgspecError`."""
     return msgspec.json.decode(path.read_bytes(), type=Run)
 
 
 def write_run(path: Path, run: Run) -> None:
-    """Write a run, so that a person can read it."""
+    """Write a run to a file, as indented JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(run), indent=1) + b"\n")
 
 
 @dataclass(slots=True)
 class Collector:
-    """Takes the points of one run as they are measured, and shows them."""
+    """Measures the points of one run and prints them to standard error as they come."""
 
     run: Run
 
@@ -111,18 +111,18 @@
         unit: str,
         against: str,
         sizes: list[float],
-        once: Callable[[float], dict[str, float]],
+        measure_once: Callable[[float], dict[str, float]],
     ) -> None:
-        """Measure `once` at each size, as often as the run repeats, see `measure_rows`."""
+        """Call `measure_once` for each size, as often as the run repeats; otherwise like `measure_rows`."""
 
-        def point(size: float) -> dict[str, list[float]]:
+        def measure_point(size: float) -> dict[str, list[float]]:
             row: dict[str, list[float]] = {}
             for _ in range(self.run.repeats):
-                for key, value in once(size).items():
+                for key, value in measure_once(size).items():
                     row.setdefault(key, []).append(value)
             return row
 
-        self.measure_rows(name, unit, against, sizes, point)
+        self.measure_rows(name, unit, against, sizes, measure_point)
 
     def measure_rows(
         self,
@@ -130,24 +130,26 @@
         unit: str,
         against: str,
         sizes: list[float],
-        point: Callable[[float], dict[str, list[float]]],
+        measure_point: Callable[[float], dict[str, list[float]]],
     ) -> None:
-        """Measure `point`, which gives one value a repeat, at each size. Each key of its result is a series
-        `name.key`, in the unit that the key's name ends with, else in `unit`."""
+        """Call `measure_point`, which returns one value per repeat, for each size.
+
+        Each key of its result becomes a series `name.key`, in the unit of the key's ending, else in `unit`.
+        """
         found: dict[str, list[list[float]]] = {}
         for size in sizes:
-            row = point(size)
+            row = measure_point(size)
             for key, values in row.items():
                 found.setdefault(key, []).append(values)
             shown = ", ".join(f"{key} {float(np.median(values)):.4g}" for key, values in row.items())
             print(f"{name} at {size:g} {against}: {shown}", file=sys.stderr, flush=True)
         for key, rows in found.items():
-            series = Series(f"{name}.{key}", unit_of(key, unit), against, sizes, rows)
+            series = Series(f"{name}.{key}", find_unit(key, unit), against, sizes, rows)
             self.run.series.append(series.fit())
 
 
-def unit_of(key: str, default: str) -> str:
-    """The unit that the name of a value ends with."""
+def find_unit(key: str, default: str) -> str:
+    """Return the unit that the ending of a key stands for, or `default`."""
     for ending, unit in (("_ms", "ms"), ("_us", "us"), ("_bytes", "bytes"), ("_mb", "MB"),
                          ("_share", "of a core"), ("_per_s", "a second"), ("_s", "s")):  # fmt: skip
         if key.endswith(ending):
@@ -156,10 +158,13 @@
 
 
 def bare_loop() -> float:
-    """Processor time in ms of a fixed loop of dictionary and arithmetic work: what this machine does now."""
-    begun = time.process_time()
+    """Return the CPU time, in ms, of a fixed loop of dictionary and arithmetic work.
+
+    It shows how fast the machine is at the moment.
+    """
+    started_at = time.process_time()
     table: dict[int, int] = {}
     for number in range(400_000):
         key = number * 2_654_435_761 % 4096
         table[key] = table.get(key, 0) + number
-    return (time.process_time() - begun) * 1000.0
+    return (time.process_time() - started_at) * 1000.0
