--- a/benchmarks/soak/scenario.py
+++ b/benchmarks/soak/scenario.py
@@ -47,10 +47,9 @@
     restarts: bool  # each dispatcher is started again after its end, and stopped once more
     clients: int  # of each dispatcher
     idle_connections: int  # to each dispatcher
-    behaviour_weights: dict[
-        Behaviour, float
-    ]  # how likely workers are to behave so, from `misbehaves_from` on
-    misbehaves_from: float  # until then workers serve every attempt; before SIGTERM
+    # How likely workers are to treat an attempt so, from `misbehaves_from` on.
+    behaviour_weights: dict[Behaviour, float]
+    misbehaves_from: float  # before SIGTERM; until then workers serve every attempt
     leave_share: float  # of the requests, those whose client closes without waiting for the answer
     signals: list[tuple[float, str]] = field(default_factory=list)  # further signals: when, and the name
     pauses: list[tuple[float, float]] = field(default_factory=list)  # by SIGSTOP: when, and for how long
