--- a/eiderpin/cli/try_it.py
+++ b/eiderpin/cli/try_it.py
@@ -36,7 +36,7 @@
 
 
 class DemoWorker:
-    """A simulated worker: it accepts a job with status 202, and reports its start and its end by call-backs.
+    """A simulated worker: it accepts a job with status 202, and reports its start and its end by callbacks.
 
     Attributes:
         name: Its name in the configuration.
@@ -77,7 +77,7 @@
         self.report_state(job, "done", result=f"{job} by {self.name}")
 
     def report_state(self, job: str, state: str, **fields: str) -> None:
-        """Call the dispatcher back with the state of a job and further fields of the call-back."""
+        """Call the dispatcher back with the state of a job and further fields of the callback."""
         send_request(
             self.dispatcher,
             "POST",
--- a/eiderpin/configuration.py
+++ b/eiderpin/configuration.py
@@ -73,12 +73,12 @@
     if config.inherited is not None and not used_by_predecessor:
         reserved += RESERVED_DESCRIPTORS + MAX_MANAGEMENT_CALLERS  # so that a successor can start
     sockets = config.sockets - used_by_predecessor
-    extra = min(MAX_EXTRA_CONNECTIONS, max(8, int(EXTRA_CONNECTIONS_SHARE * sockets)))
+    extra_connections = min(MAX_EXTRA_CONNECTIONS, max(8, int(EXTRA_CONNECTIONS_SHARE * sockets)))
     # A worker has a few slots, so connections to workers need few descriptors, but must never run out: a
     # quarter is reserved for them, and each front is limited to its share of the rest.
-    shareable = max(16, sockets - reserved - extra)
+    shareable = max(16, sockets - reserved - extra_connections)
     workers = max(shareable // 4, min(24, shareable // 2))
-    return workers, (shareable - workers) // (1 if config.gearman is None else 2), extra
+    return workers, (shareable - workers) // (1 if config.gearman is None else 2), extra_connections
 
 
 def read_optional_features(config: Config, text: bytes) -> None:
--- a/eiderpin/core/dispatcher.py
+++ b/eiderpin/core/dispatcher.py
@@ -226,7 +226,7 @@
         return True
 
     def _bound_attempt(self, attempt: Attempt) -> None:
-        """Bound an attempt's time-out by its request's deadline."""
+        """Bound an attempt's timeout by its request's deadline."""
         left = attempt.request.deadline - attempt.made_at
         if attempt.ended or attempt.timeout <= left:
             return
@@ -502,10 +502,10 @@
         """
         self._events.append(event)
 
-    def apply_learned(self, found: Learned) -> None:
+    def apply_learned(self, estimates: Learned) -> None:
         """Pass on what another process has learned of workers, after all events queued so far."""
         self.decide()
-        learned.apply_to(self.module, found)
+        learned.apply_to(self.module, estimates)
 
     def hand_off(self, request: Request) -> None:
         """Drop a request that another process continues.
@@ -547,7 +547,7 @@
                 self._start_timeout(attempt)
 
     def _start_timeout(self, attempt: Attempt) -> None:
-        """Schedule the time-out of an attempt."""
+        """Schedule the timeout of an attempt."""
         at = attempt.made_at + attempt.timeout
         attempt.expiry = self.deadlines.set(at, lambda: self._time_out(attempt))
 
@@ -670,7 +670,10 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the figures for operators: how the jobs of each class ended, and the present state."""
-        counts, listed = self.counters.counts, [e for e in self.endpoints.values() if e.is_listed]
+        counts, listed = (
+            self.counters.counts,
+            [endpoint for endpoint in self.endpoints.values() if endpoint.is_listed],
+        )
         return {
             "results": {c: {v.value: counts[f"answer.{c}.{v.value}"] for v in Verdict} for c in self.classes},
             "forwards": counts["out.attempts"],
--- a/eiderpin/core/moves.py
+++ b/eiderpin/core/moves.py
@@ -32,7 +32,7 @@
     priority: int
     wire_id: str
     share: float
-    attempts: list[list[Any]]  # worker, ms since it was made, time-out, may have run, has ended
+    attempts: list[list[Any]]  # worker, ms since it was made, timeout, may have run, has ended
     standing: dict[str, Any]  # what the decision module knows of it: an `api.Standing`
     idempotency_key: str | None = None
 
--- a/eiderpin/core/requests.py
+++ b/eiderpin/core/requests.py
@@ -173,5 +173,5 @@
     may_have_run: bool = False  # it was written in full, and nothing proves that it did not run
     ended: bool = False
     leased: bool = False  # of a durable job, with its lease on disk
-    expiry: Deadline | None = None  # its time-out
+    expiry: Deadline | None = None  # its timeout
     handle: Any = None  # used by the link only
--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -80,9 +80,9 @@
 FAULTY_RATE = 0.35  # reached by two failures; single-shot jobs are kept away from there on
 FAILURE_DECAY_RUNS = 20.0  # decay time of a worker's failure rate
 MEMORY_SPAN_SHARE = 0.9  # share of a memory span within which a guarded repeat is still sent
-# A process may be held up this long between reading its clock and writing. At least so much of a memory span
-# is left unused.
-MAX_SEND_DELAY_MS = 150.0
+# For which the process may stall between reading its clock and writing. At least so much of a memory span is
+# left unused.
+MAX_STALL_MS = 150.0
 MIN_EARNINGS_SHARE = 0.75  # jobs of a class that earns less than this share of the best one go first
 TENANT_BURST_MS = 2000.0  # a tenant may use so much time's worth of its share at once
 # Least share of its worth that a job loses by waiting, even where late answers earn as much: room that is
@@ -328,7 +328,7 @@
     if binding is None or job.spec.repeat is api.Repeat.FREE:
         return True
     guarded, span = job.spec.repeat is api.Repeat.GUARDED, job.spec.memory_span
-    return guarded and now <= binding.sent_at + min(MEMORY_SPAN_SHARE * span, span - MAX_SEND_DELAY_MS)
+    return guarded and now <= binding.sent_at + min(MEMORY_SPAN_SHARE * span, span - MAX_STALL_MS)
 
 
 def may_refuse(job: Job) -> bool:
--- a/eiderpin/fleet/observer.py
+++ b/eiderpin/fleet/observer.py
@@ -333,7 +333,7 @@
         self._send_report()
 
     def close(self) -> None:
-        """Leave as planned: other dispatchers learn of it without waiting for a time-out."""
+        """Leave as planned: other dispatchers learn of it without waiting for a timeout."""
         self._closed = True
         for deadline in (self._retry_deadline, self._silence_deadline, self._return_deadline):
             self.loop.deadlines.drop(deadline)
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -81,12 +81,12 @@
         self.defer_callbacks()
 
     def defer_callbacks(self) -> None:
-        """Defer call-backs from now on until the ledger's jobs have been recovered."""
+        """Defer callbacks from now on until the ledger's jobs have been recovered."""
         if self.workers.deferred_callbacks is None:
             self.workers.deferred_callbacks = []
 
     def defer_callback(self, callback: dict[str, Any], reply: Callable[[int], None]) -> bool:
-        """Defer a call-back that arrives before the ledger's jobs are recovered. Returns whether it did."""
+        """Defer a callback that arrives before the ledger's jobs are recovered. Returns whether it did."""
         return self.workers.defer_callback(callback, reply)
 
     def on_ledger_released(self) -> None:
--- a/eiderpin/jobs/elsewhere.py
+++ b/eiderpin/jobs/elsewhere.py
@@ -1,6 +1,6 @@
-"""The job manager's stand-in while another process owns the ledger.
+"""The job manager that a process uses while another process owns the ledger.
 
-Durable jobs are rejected here meanwhile, and all others are served.
+It rejects all durable jobs. Jobs of other classes are served as usual.
 """
 
 from __future__ import annotations
--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -300,7 +300,7 @@
         self.write_record(record, on_written)
 
     def start_lease_timer(self, attempt: Attempt) -> None:
-        """Start or restart the lease's time-out: its worker must report within `silence_ms`."""
+        """Start or restart the lease's timeout: its worker must report within `silence_ms`."""
         deadlines = self.core.deadlines
         deadlines.drop(self._lease_timers.pop(attempt, None))
         at = self.core.clock.now() + self.options.silence_ms
--- a/eiderpin/net/handover.py
+++ b/eiderpin/net/handover.py
@@ -1,4 +1,4 @@
-"""Handover from an old process to a new one (upgrade without downtime).
+"""Handover from an old process, the predecessor, to a new one, its successor (upgrade without downtime).
 
 The two processes are linked by a Unix socket that carries one JSON object per line. The new process connects
 to the socket of its predecessor. Messages; each is sent in both directions unless noted:
@@ -12,8 +12,8 @@
     {"adopted": 7}, {"refused": 7}  with `refused` the job stays with the sender
     {"ledger": true}                the sender has released the ledger of durable jobs to the receiver
     {"waits": {...}, "ask": 7}      a client of a job in that ledger, with its socket; answered like `adopt`
-    {"news": {...}, "ask": 7}       a worker's call-back for an id that the sender does not know
-    {"told": 7}                     the call-back has been handled, or the id is not known here either
+    {"news": {...}, "ask": 7}       a worker's callback for an id that the sender does not know
+    {"told": 7}                     the callback has been handled, or the id is not known here either
 
 A link is closed when it breaks, times out or carries an invalid message. Each process then goes on alone.
 """
@@ -44,7 +44,7 @@
 STATE_CHECK_MS = 50.0  # between checks whether the state has changed or jobs can be transferred
 SILENCE_TIMEOUT_MS = 3000.0  # a peer process that sends nothing for so long is taken to be stuck
 STATE_REPEAT_MS = 500.0  # an unchanged state is sent again after this time
-# The peer process must handle a call-back in this time; otherwise the worker is told to send it again.
+# The peer process must handle a callback in this time; otherwise the worker is asked to send it again.
 CALLBACK_TIMEOUT_MS = 500.0
 MAX_PENDING_DESCRIPTORS = 16  # received descriptors whose messages have not arrived yet
 MAX_LINE_BYTES = 4 << 20
@@ -53,20 +53,20 @@
 # A starting process looks for its predecessor so often, at this interval.
 LOOKUPS, LOOKUP_RETRY_MS = 4, 50.0
 
-Reply = Callable[[int], None]  # answers a call-back with an HTTP status
+Reply = Callable[[int], None]  # answers a callback with an HTTP status
 FileIdentity = tuple[int, int, int]  # device, inode and modification time (ns) of a file
 
 
 class Link:
-    """A connection to the peer process, the older or the newer one."""
+    """A connection to the peer process, our predecessor or our successor."""
 
     def __init__(self, handover: Handover, conn: Connection, is_predecessor: bool) -> None:
         self.handover, self.conn, self.loop = handover, conn, handover.loop
-        self.is_predecessor = is_predecessor  # the peer is the older process
+        self.is_predecessor = is_predecessor  # the peer is our predecessor
         self.hello_received = False
-        self.serving = False  # the peer is the newer process and accepts clients
-        self.published: FileIdentity | None = None  # the socket file of the newer process
-        self.readiness = ""  # of the peer, as load balancers are told
+        self.serving = False  # the peer is our successor and accepts clients
+        self.published: FileIdentity | None = None  # the socket file of a successor
+        self.readiness = ""  # of the peer, as reported to load balancers
         self.sockets = 0  # descriptors that the peer uses
         self.holds: dict[str, tuple[float, float]] = {}  # of the peer, by worker: see `api.Beside`
         self.buffer = bytearray()
@@ -192,7 +192,7 @@
         self.handover.adopt_job(asdict(moved), sock)
 
     def send_callback(self, number: int, callback: dict[str, Any], reply: Reply) -> None:
-        """Forward a call-back, and reply to its worker when the peer has handled it: 204, else 503."""
+        """Forward a callback, and reply to its worker when the peer has handled it: 204, else 503."""
 
         def on_timeout() -> None:
             self.pending_callbacks.pop(number, None)
@@ -213,7 +213,7 @@
         self.state_check = self.loop.deadlines.set(now + STATE_CHECK_MS, self.send_state)
 
     def close(self) -> None:
-        """Close the link: take unadopted jobs back and reply 503 to call-backs in flight."""
+        """Close the link: take unadopted jobs back and reply 503 to callbacks in flight."""
         self.loop.deadlines.drop(self.silence_timeout)
         self.loop.deadlines.drop(self.state_check)
         self.conn.close()
@@ -232,7 +232,7 @@
     """The side of the ledger of durable jobs that the handover uses."""
 
     def on_ledger_released(self) -> None:
-        """The previous owner has released the ledger to us, or has gone."""
+        """The previous owner has released the ledger to us, or has ended."""
         ...
 
     def release(self) -> list[tuple[WaitingClient, ClientConnection]] | None:
@@ -244,7 +244,7 @@
         ...
 
     def defer_callback(self, callback: dict[str, Any], reply: Reply) -> bool:
-        """Defer a call-back until the ledger's jobs are recovered; return whether it was deferred."""
+        """Defer a callback until the ledger's jobs are recovered; return whether it was deferred."""
         ...
 
     @property
@@ -254,11 +254,11 @@
 
 
 class Handover:
-    """Keeps the links to the older and the newer process, and transfers jobs to the newer one.
+    """Keeps the links to the predecessor and the successor, and transfers jobs to the successor.
 
     Args:
         path: where the socket of the process that serves is found.
-        apply_callback: applies a call-back; returns whether its request is known here.
+        apply_callback: applies a callback; returns whether its request is known here.
         get_state: the state that the peer process is told.
         on_change: called when something about the peer processes has changed.
         may_transfer: whether jobs may be transferred to the successor now.
@@ -310,7 +310,7 @@
 
     @property
     def handed_over(self) -> bool:
-        """Whether a newer process accepts the clients now."""
+        """Whether a successor accepts the clients now."""
         return self.successor is not None and self.successor.serving
 
     def serve(self) -> None:
@@ -328,16 +328,16 @@
         The file is renamed into place, so that there is a socket at any time. If that fails we still serve,
         but the next process won't find us.
         """
-        own = f"{self.path}.{os.getpid()}"
+        own_path = f"{self.path}.{os.getpid()}"
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(own)  # left by a killed process that had our process id
-            sock.bind(_short_socket_path(own))
-            os.chmod(own, 0o600)  # other users may have access to the directory
+                os.unlink(own_path)  # left by a killed process that had our process id
+            sock.bind(_short_socket_path(own_path))
+            os.chmod(own_path, 0o600)  # other users may have access to the directory
             sock.listen(8)
-            self.published = _file_identity(own)
-            os.rename(own, self.path)
+            self.published = _file_identity(own_path)
+            os.rename(own_path, self.path)
         except OSError:
             sock.close()
             self.core.counters.add("out.link_unpublished")
@@ -347,14 +347,14 @@
         self.listener = Listener(self.loop, sock, self.on_connection)
 
     def on_connection(self, conn: Connection) -> None:
-        """Accept a link; whether it comes from a newer process shows in its hello."""
+        """Accept a link; whether it comes from a successor shows in its hello."""
         if len(self.unidentified_links) >= MAX_UNIDENTIFIED_LINKS:
             conn.close()
             return
         self.unidentified_links.append(Link(self, conn, is_predecessor=False))
 
     def on_hello(self, link: Link, ids: set[str]) -> None:
-        """Take the peer's hello with the ids of its jobs; only one newer process is accepted."""
+        """Take the peer's hello with the ids of its jobs; only one successor is accepted."""
         if link in self.unidentified_links:
             self.unidentified_links.remove(link)
             if self.successor is not None:
@@ -460,14 +460,14 @@
         return True
 
     def forward_callback(self, callback: dict[str, Any], reply: Reply) -> None:
-        """Forward a call-back for an id that we do not know: a peer process may. It is always answered."""
+        """Forward a callback for an id that we do not know: a peer process may. It is always answered."""
         links = [
             link for link in (self.predecessor, self.successor) if link is not None and link.hello_received
         ]
         self._forward(links, callback, reply)
 
     def on_forwarded_callback(self, link: Link, callback: dict[str, Any], reply: Reply) -> None:
-        """Handle a call-back that a peer process forwarded, or forward it to the peer on our other side."""
+        """Handle a callback that a peer process forwarded, or forward it to the peer on our other side."""
         beyond = self.successor if link.is_predecessor else self.predecessor
         if self.ledger is not None and self.ledger.defer_callback(callback, reply):
             return
@@ -486,7 +486,7 @@
             self._forward([beyond], callback, reply)
 
     def _forward(self, links: list[Link], callback: dict[str, Any], reply: Reply) -> None:
-        """Forward a call-back to all these links, and reply with the worst of their statuses."""
+        """Forward a callback to all these links, and reply with the worst of their statuses."""
         if not links:
             reply(204)
             return
@@ -520,10 +520,10 @@
 def _file_identity(path: str) -> FileIdentity | None:
     """Return what identifies this file among others of the same name; None if there is none."""
     try:
-        found = os.lstat(path)
+        file_status = os.lstat(path)
     except OSError:
         return None
-    return found.st_dev, found.st_ino, found.st_mtime_ns
+    return file_status.st_dev, file_status.st_ino, file_status.st_mtime_ns
 
 
 def _parse_identity(fields: Any) -> FileIdentity:
--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -1,4 +1,4 @@
-"""The HTTP link to workers: pools of connections, the exchanges on them, and workers' call-backs."""
+"""The HTTP link to workers: pools of connections, the exchanges on them, and workers' callbacks."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 # A stale connection shortens the time for which idle ones are reused; the limit doubles again in this time.
 IDLE_LIMIT_DOUBLING_MS = 10_000.0
 CALL_TIMEOUT_MS = 1000.0  # for the answer to a cancel or a probe
-MAX_DEFERRED_CALLBACKS = 256  # call-backs kept until a ledger is recovered
+MAX_DEFERRED_CALLBACKS = 256  # callbacks kept until a ledger is recovered
 MAX_IDLE_PER_WORKER = 64  # idle connections kept to one worker
 
 
@@ -220,7 +220,7 @@
         self.workers.forget(self)
 
     def limit_response_time(self) -> None:
-        """Bound the wait for the response to an attempt that a call-back has already ended."""
+        """Bound the wait for the response to an attempt that a callback has already ended."""
         self.set_timeout(CALL_TIMEOUT_MS)
 
     def clear_timeout(self) -> None:
@@ -230,7 +230,7 @@
 
 
 class HttpWorkers:
-    """The link to the platform's HTTP workers: sends attempts, cancels and probes, takes call-backs.
+    """The link to the platform's HTTP workers: sends attempts, cancels and probes, takes callbacks.
 
     `host` is sent as the Host header; `max_connections` bounds the number of open connections.
     """
@@ -243,9 +243,9 @@
         self.open: set[WorkerConnection] = set()
         self.idle: dict[str, list[WorkerConnection]] = {}
         self._idle_limit_ms, self._stale_at = math.inf, 0.0
-        # Call-backs received while a ledger is being recovered, with their replies; None: handled at once.
+        # Callbacks received while a ledger is being recovered, with their replies; None: handled at once.
         self.deferred_callbacks: list[tuple[Any, Callable[[int], None]]] | None = None
-        # Handles a call-back for a request that is not known here.
+        # Handles a callback for a request that is not known here.
         self.on_unknown_callback: Callable[[dict[str, Any], Callable[[int], None]], None] = (
             _acknowledge_unknown
         )
@@ -304,7 +304,7 @@
                 connection.close()
 
     def may_transfer(self, attempt: Attempt) -> bool:
-        """Return whether the attempt is accepted and its end will come by call-back alone."""
+        """Return whether the attempt is accepted and its end will come by callback alone."""
         connection = attempt.handle
         tied = isinstance(connection, WorkerConnection) and connection.attempt is attempt
         return attempt.accepted and not tied
@@ -384,14 +384,14 @@
         if connection in idle:
             idle.remove(connection)
 
-    # -- call-backs
+    # -- callbacks
 
     def parse_load(self, callback: dict[str, Any]) -> api.Report | None:
-        """Return the load report in a call-back, if there is one."""
+        """Return the load report in a callback, if there is one."""
         return reports.parse_fields(callback.get("load"), self.core.settings.report_names)
 
     def handle_callback(self, body: bytes, reply: Callable[[int], None]) -> None:
-        """Handle one call-back and reply with an HTTP status: 204, or 400 if it is malformed.
+        """Handle one callback and reply with an HTTP status: 204, or 400 if it is malformed.
 
         Repeated and late ones are answered as well. The reply is deferred while a ledger is recovered.
         """
@@ -406,14 +406,14 @@
         self.reply_to_callback(callback, known, reply)
 
     def defer_callback(self, callback: Any, reply: Callable[[int], None]) -> bool:
-        """Defer a call-back while a ledger is being recovered; return whether it was deferred."""
+        """Defer a callback while a ledger is being recovered; return whether it was deferred."""
         if self.deferred_callbacks is None or len(self.deferred_callbacks) >= MAX_DEFERRED_CALLBACKS:
             return False
         self.deferred_callbacks.append((callback, reply))
         return True
 
     def process_deferred_callbacks(self) -> None:
-        """Handle the call-backs that were deferred while the ledger was recovered."""
+        """Handle the callbacks that were deferred while the ledger was recovered."""
         deferred, self.deferred_callbacks = self.deferred_callbacks or [], None
         for callback, reply in deferred:
             try:
@@ -424,7 +424,7 @@
             self.reply_to_callback(callback, known, reply)
 
     def reply_to_callback(self, callback: Any, known: bool, reply: Callable[[int], None]) -> None:
-        """Count an applied call-back and answer it, or pass it to `on_unknown_callback`."""
+        """Count an applied callback and answer it, or pass it to `on_unknown_callback`."""
         state = callback["state"]
         self.core.counters.add(f"in.news.{state}" if state in CALLBACK_OUTCOMES else "in.news.other")
         if known:
@@ -433,7 +433,7 @@
             self.on_unknown_callback(callback, reply)
 
     def apply_callback(self, callback: Any) -> bool:
-        """Apply a call-back to its attempt; return whether its request is known here.
+        """Apply a callback to its attempt; return whether its request is known here.
 
         Raises `ValueError` if it is malformed.
         """
@@ -465,7 +465,7 @@
         return True
 
     def finish_attempt(self, attempt: Attempt, outcome: api.Outcome, callback: dict[str, Any]) -> None:
-        """End an attempt by a call-back, which may come before the 202 on its connection."""
+        """End an attempt by a callback, which may come before the 202 on its connection."""
         connection = attempt.handle
         if isinstance(connection, WorkerConnection) and connection.attempt is attempt:
             connection.limit_response_time()
@@ -474,7 +474,7 @@
 
 
 def _acknowledge_unknown(callback: dict[str, Any], reply: Callable[[int], None]) -> None:
-    """Acknowledge a call-back of an unknown request: there is no peer process that may know it."""
+    """Acknowledge a callback of an unknown request: there is no peer process that may know it."""
     reply(204)
 
 
@@ -489,7 +489,7 @@
 
 
 def _result_bytes(callback: dict[str, Any]) -> bytes:
-    """Return the result in a call-back: text as it is, anything else as JSON."""
+    """Return the result in a callback: text as it is, anything else as JSON."""
     result = callback.get("result")
     if result is None:
         return b""
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -86,10 +86,10 @@
         self.clock, self.deadlines, self.counters = Clock(), Deadlines(), Counters()
         self.loop = Loop(self.clock, self.deadlines, self.counters)
         self.core = Dispatcher(config.settings, config.seed, self.clock, self.deadlines, self.counters)
-        workers, fronts, extra = allocate_descriptors(config)
+        workers, fronts, extra_connections = allocate_descriptors(config)
         held_bytes = int(HELD_REQUESTS_MEMORY_SHARE * config.memory_mb * (1 << 20))
         listen_on: tuple[str, int] | socket.socket = config.listen
-        # With an inherited listening socket, an old and a new process may run side by side during an upgrade.
+        # With an inherited listening socket, a predecessor may run at the same time during an upgrade.
         inherits_socket = config.inherited is not None
         if config.inherited is not None:
             listen_on = socket.socket(fileno=config.inherited)
@@ -106,7 +106,7 @@
         try:
             self.http_front = HttpFront(
                 self.loop, self.core, listen_on, self.workers.handle_callback, self.health_text, fronts,
-                extra, held_bytes, accepting=not inherits_socket,
+                extra_connections, held_bytes, accepting=not inherits_socket,
             )  # fmt: skip
             # Modules of features that are off are not imported.
             if config.gearman is not None:
@@ -180,7 +180,7 @@
             raise ConfigError(f"durable.directory {options.folder}: {error}") from None
 
     def join_store(self, options: StoreOptions) -> None:
-        """Start as a member of the store. While the older process still is that member, retry until it has
+        """Start as a member of the store. While the predecessor still is that member, retry until it has
         ended. Raises `ConfigError` where the member can't start."""
         try:
             from eiderpin.durable.files import DirectoryLockedError
@@ -190,12 +190,12 @@
             text = f"store: {error.name} is not installed: pip install 'eiderpin[durable]'"
             raise ConfigError(text) from None
 
-        def warn(text: str) -> None:
+        def log_warning(text: str) -> None:
             logs.event(text, logging.WARNING)
 
         rng = random.Random(f"{self.config.seed} {options.name} {os.getpid()}")
         try:
-            self.store = host.StoreHost(self.loop, self.counters, options, rng, self.log_info, warn)
+            self.store = host.StoreHost(self.loop, self.counters, options, rng, self.log_info, log_warning)
         except host.UNREADABLE as error:
             if not isinstance(error, DirectoryLockedError) or self.config.inherited is None:
                 raise ConfigError(f"store.directory {options.folder}: {error}") from None
@@ -221,7 +221,7 @@
             self.describe_dispatcher,
             self.apply_shared_config,
             self.log_info,
-            warn,
+            log_warning,
         )
         if options.observers is not None:
             self.start_observer_server(self.store, options)
@@ -249,7 +249,7 @@
             raise ConfigError(f"store.observers.listen: {error}") from None
 
     def start_observing(self, options: FollowOptions) -> None:
-        """Start as an observer of the store. While an older process runs, retry until it has ended, because
+        """Start as an observer of the store. While a predecessor runs, retry until it has ended, because
         both use the same name. Raises `ConfigError`."""
         if self.handover is not None and (self.handover.predecessor is not None or not self.serving):
             self.deadlines.set(self.clock.now() + STORE_RETRY_MS, lambda: self.start_observing(options))
@@ -284,7 +284,7 @@
             "began": int(self.started_at), "version": VERSION,
         }  # fmt: skip
 
-    # -- upgrade: an old and a new process run side by side
+    # -- upgrade: a predecessor and its successor run at the same time
 
     def may_start_serving(self) -> bool:
         """Whether this process can serve clients, so that its predecessor may hand them over."""
@@ -304,7 +304,7 @@
 
     @property
     def handed_over(self) -> bool:
-        """Whether a newer process serves the clients now."""
+        """Whether a successor serves the clients now."""
         return self.handover is not None and self.handover.handed_over
 
     def update_serving_state(self) -> None:
@@ -340,12 +340,12 @@
         self.apply_resource_limits()
 
     def apply_resource_limits(self) -> None:
-        """Set the limits on connections and memory so that the old and the new process together keep to the
+        """Set the limits on connections and memory so that predecessor and successor together keep to the
         configured ones: the successor leaves free what its predecessor still uses."""
         if self.handover is None:
             return
         predecessor, successor = self.handover.predecessor, self.handover.successor
-        workers, fronts, extra = allocate_descriptors(
+        workers, fronts, extra_connections = allocate_descriptors(
             self.config, predecessor.sockets if predecessor is not None else 0
         )
         if self.handed_over:
@@ -353,7 +353,7 @@
         self.workers.max_connections, self.http_front.max_connections, self.http_front.extra_connections = (
             workers,
             fronts,
-            extra,
+            extra_connections,
         )
         if self.gearman is not None:
             self.gearman.max_connections = fronts
@@ -399,15 +399,15 @@
             return "down"
         if not self.serving or not any(e.in_service for e in self.core.endpoints.values()):
             return "down"
-        most = min(self.http_front.max_connections, self.config.settings.most_held)
-        free = 100 - 100 * len(self.core.requests) // most
-        comeback = self.comeback
-        if comeback is not None:  # a recovering dispatcher advertises less until its state is complete
-            free = free * comeback.traffic_percent(self.clock.now()) // 100
+        max_requests = min(self.http_front.max_connections, self.config.settings.most_held)
+        free = 100 - 100 * len(self.core.requests) // max_requests
+        rejoin = self.rejoin
+        if rejoin is not None:  # a recovering dispatcher advertises less until its state is complete
+            free = free * rejoin.traffic_percent(self.clock.now()) // 100
         return f"up {max(1, free)}%"
 
     @property
-    def comeback(self) -> RejoinProgress | None:
+    def rejoin(self) -> RejoinProgress | None:
         """The stages of the recovery after a start; None where the dispatcher has no part in the store."""
         if self.control_plane is not None:
             return self.control_plane.rejoin
@@ -427,8 +427,8 @@
             state += ", cut off from the store"
         if self.control_plane is not None:
             state += self.control_plane.readiness_detail()
-        comeback = self.comeback
-        if comeback is not None and (stage := comeback.stage(self.clock.now()).value) != "whole":
+        rejoin = self.rejoin
+        if rejoin is not None and (stage := rejoin.stage(self.clock.now()).value) != "whole":
             state += f", coming back: {stage}"
         if self.is_fenced:
             return f"fail {state}, fenced: another process has this one's name"
--- a/eiderpin/shutdown.py
+++ b/eiderpin/shutdown.py
@@ -42,7 +42,7 @@
     ) -> None:
         self.core, self.http_front, self.gearman, self.workers = core, http_front, gearman, workers
         self.ledger = ledger
-        self.handover: Handover | None = None  # set where an old and a new process can run side by side
+        self.handover: Handover | None = None  # set where a predecessor and a successor can run together
         self.schedule: ShutdownSchedule | None = None  # set from SIGTERM on
         self.handed_over_at: float | None = None  # when a successor took the client connections
         self._closing_since: float | None = None  # when all was answered, at the end
--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self, loop: Loop, counters: Counters, options: StoreOptions, rng: random.Random,
-        say: Callable[[str], None], warn: Callable[[str], None],
+        log_info: Callable[[str], None], log_warning: Callable[[str], None],
     ) -> None:  # fmt: skip
         """Read the member's directory, listen for other members, and start the member.
 
@@ -77,56 +77,66 @@
             UNREADABLE: The directory cannot be used; one of the errors of that tuple.
             ValueError: The directory belongs to another member.
         """
-        self.loop, self.counters, self.options, self.say, self.warn = loop, counters, options, say, warn
+        self.loop, self.counters, self.options, self.log_info, self.log_warning = (
+            loop,
+            counters,
+            options,
+            log_info,
+            log_warning,
+        )
         restored = RestoredState()
         self.log = Log(Files(options.folder), restored.apply)
         try:
             anchor = Anchor(options.folder)
-            own = restored.identity or MemberIdentity(
+            own_identity = restored.identity or MemberIdentity(
                 options.cluster, options.name, anchor.new_disk_id(), anchor.fingerprint()
             )
-            if (own.cluster, own.name) != (options.cluster, options.name):
+            if (own_identity.cluster, own_identity.name) != (options.cluster, options.name):
                 raise ValueError(
-                    f"store.directory {options.folder}: it is that of member {own.name} of cluster "
-                    f"{own.cluster}, and not of {options.name} of {options.cluster}"
+                    f"store.directory {options.folder}: it is that of member {own_identity.name} of cluster "
+                    f"{own_identity.cluster}, and not of {options.name} of {options.cluster}"
                 )
             stored_identity = restored.identity
             is_new, is_single = stored_identity is None, len(options.members) < 2 and not options.join
             if is_new and is_single:
                 own_address = f"{options.listen[0]}:{options.listen[1]}" if options.listen is not None else ""
                 voters = options.members or {options.name: own_address}
-                restored = Member.initial_state(own, voters, {options.name: own.disk})
+                restored = Member.initial_state(own_identity, voters, {options.name: own_identity.disk})
             elif is_new:
-                restored = RestoredState(own)
-            elif not own.disk:  # written before disks had ids
-                own = replace(own, disk=anchor.new_disk_id(), anchor=anchor.fingerprint())
-            elif identity.is_copy(own, anchor.fingerprint()) and self.is_only_voter(restored):
+                restored = RestoredState(own_identity)
+            elif not own_identity.disk:  # written before disks had ids
+                own_identity = replace(own_identity, disk=anchor.new_disk_id(), anchor=anchor.fingerprint())
+            elif identity.is_copy(own_identity, anchor.fingerprint()) and self.is_only_voter(restored):
                 # The only voter has acknowledged nothing to other members, so it keeps its disk id.
-                own = replace(own, anchor=anchor.fingerprint())
-            elif identity.is_copy(own, anchor.fingerprint()):
-                own = replace(own, disk=anchor.new_disk_id(), anchor=anchor.recreate())
-                warn(
-                    f"store.directory {options.folder}: it is a copy of member {own.name}'s, perhaps an old "
-                    "one: it has no vote until a leader has readmitted it"
+                own_identity = replace(own_identity, anchor=anchor.fingerprint())
+            elif identity.is_copy(own_identity, anchor.fingerprint()):
+                own_identity = replace(own_identity, disk=anchor.new_disk_id(), anchor=anchor.recreate())
+                log_warning(
+                    f"store.directory {options.folder}: it is a copy of member {own_identity.name}'s, "
+                    "perhaps an old one: it has no vote until a leader has readmitted it"
+                )
+            if own_identity != stored_identity:
+                restored.identity = own_identity
+                checkpoint = checkpoint_records(
+                    own_identity, restored.hard, restored.snapshot, restored.entries
                 )
-            if own != stored_identity:
-                restored.identity = own
-                checkpoint = checkpoint_records(own, restored.hard, restored.snapshot, restored.entries)
                 self.log.checkpoint(list(checkpoint))
                 self.log.push()
             self.cluster_bootstrap: identity.ClusterBootstrap | None = None
             if not restored.entries and not restored.snapshot_head.index and not options.join:
-                self.cluster_bootstrap = identity.ClusterBootstrap(own.name, own.disk, options.members)
+                self.cluster_bootstrap = identity.ClusterBootstrap(
+                    own_identity.name, own_identity.disk, options.members
+                )
             self.transport: Transport | None = None
             if options.listen is not None:
                 self.transport = Transport(
-                    loop, counters, options.cluster, options.name, options.listen, self.receive, rng, warn,
-                    own.disk, own.generation,
+                    loop, counters, options.cluster, options.name, options.listen, self.receive, rng,
+                    log_warning, own_identity.disk, own_identity.generation,
                 )  # fmt: skip
         except BaseException:
             self.log.close()
             raise
-        self.member = Member(own, restored, LogDisk(self.log), self.send, rng, loop.clock.now())
+        self.member = Member(own_identity, restored, LogDisk(self.log), self.send, rng, loop.clock.now())
         self.member.on_config = self.update_addresses
         self.started_at, self.missing_reported = loop.clock.now(), False
         self.replaced = False  # other members know another disk by our name
@@ -191,15 +201,19 @@
             return
         config = bootstrap.initial_config()
         if config is not None:
-            self.say(f"store: begins cluster {self.options.cluster} with {', '.join(sorted(config.voters))}")
+            self.log_info(
+                f"store: begins cluster {self.options.cluster} with {', '.join(sorted(config.voters))}"
+            )
             self.member.bootstrap(config, now)
         elif not self.missing_reported and now > self.started_at + CUT_OFF_MS:
             self.missing_reported = True
             if bootstrap.log_exists:
-                self.warn("store: this directory is empty, and others have a log: waits for their leader")
+                self.log_warning(
+                    "store: this directory is empty, and others have a log: waits for their leader"
+                )
             else:
                 missing = ", ".join(bootstrap.missing_members()) or min(bootstrap.members)
-                self.warn(
+                self.log_warning(
                     "store: the cluster is created once all initial members are connected; "
                     f"waits for {missing}"
                 )
@@ -212,12 +226,12 @@
         self.loop.deadlines.set(now + TICK_MS, self.tick)
         leader, is_removed = self.member.raft.leader, self.member.raft.is_removed
         if is_removed and not self.removal_reported:
-            self.warn("store: this member has been removed; it keeps its data, and accepts no changes")
+            self.log_warning("store: this member has been removed; it keeps its data, and accepts no changes")
         self.removal_reported = is_removed
         if leader != self.reported_leader:
             self.reported_leader = leader
             if leader:
-                self.say(f"store: {leader} leads in term {self.member.raft.term}")
+                self.log_info(f"store: {leader} leads in term {self.member.raft.term}")
 
     def handle_log_events(self) -> None:
         """Handle completed and failed writes; called by the loop when the log's flusher reports any."""
@@ -225,7 +239,7 @@
         self.log.settle()
         if earlier_failure is None and self.log.failed is not None:
             self.counters.add("store.disk_failed")
-            self.warn(f"the store's disk takes nothing; this member only reads: {self.log.failed}")
+            self.log_warning(f"the store's disk takes nothing; this member only reads: {self.log.failed}")
             self.member.handle_disk_failure()
             self.retry_disk()
         self.member.flush(self.loop.clock.now())
@@ -233,7 +247,7 @@
     def retry_disk(self) -> None:
         """Check whether a disk that has failed accepts writes again."""
         if self.log.finish_rewrite():
-            self.say("the store's disk is back")
+            self.log_info("the store's disk is back")
             self.member.handle_disk_recovery(self.loop.clock.now())
             return
         self.log.start_rewrite(self.member.all_records())
--- a/eiderpin/store/transport.py
+++ b/eiderpin/store/transport.py
@@ -94,7 +94,7 @@
         """Handle the answer to our `Hello`."""
         if welcome.refused:
             if welcome.refused != self.last_rejection:
-                self.transport.warn(
+                self.transport.log_warning(
                     f"member {self.name} at {self.peer_address} refuses us: {welcome.refused}"
                 )
             self.last_rejection = welcome.refused
@@ -140,7 +140,7 @@
 
     def __init__(
         self, loop: Loop, counters: Counters, cluster: str, name: str, listen: tuple[str, int],
-        on_message: Callable[[Message], None], rng: random.Random, warn: Callable[[str], None],
+        on_message: Callable[[Message], None], rng: random.Random, log_warning: Callable[[str], None],
         disk: str = "", generation: int = 1,
     ) -> None:  # fmt: skip
         """Start to listen, without connecting to any member yet.
@@ -164,7 +164,7 @@
         self.is_retired: Callable[[str, str], bool] = lambda name, disk: False
         self.adopt_generation: Callable[[int], None] = lambda generation: None
         self.on_peer_hello: Callable[[str, str, bool], None] = lambda name, disk, has_log: None
-        self.on_message, self.rng, self.warn = on_message, rng, warn
+        self.on_message, self.rng, self.log_warning = on_message, rng, log_warning
         self.peers: dict[str, OutgoingConnection] = {}
         self.configured_addresses: dict[str, str] = {}  # of the members in the configuration
         self.learned_addresses: dict[str, str] = {}  # of members that have connected to us
@@ -232,7 +232,7 @@
                         return
             except (ValueError, msgspec.MsgspecError) as error:
                 self.counters.add("store.bad")
-                self.warn(f"a peer's connection is closed: {error}")
+                self.log_warning(f"a peer's connection is closed: {error}")
                 conn.close()
 
         def on_closed() -> None:
