--- a/eiderpin/cli/store.py
+++ b/eiderpin/cli/store.py
@@ -221,11 +221,11 @@
 def history(doors: str, name: str) -> None:
     """List the changes of a document that the store still keeps."""
     with store_client(doors) as client:
-        found = client.ask("history", name=name)
-        for event in found["events"]:
+        reply = client.ask("history", name=name)
+        for event in reply["events"]:
             size = "deleted" if event["value"] is None else f"{_decoded_size(event['value'])} bytes"
             click.echo(f"{event['revision']:>10} {size}")
-        click.echo(f"changes before revision {found['oldest']} are forgotten", err=True)
+        click.echo(f"changes before revision {reply['oldest']} are forgotten", err=True)
 
 
 @store.command()
--- a/eiderpin/core/dispatcher.py
+++ b/eiderpin/core/dispatcher.py
@@ -39,7 +39,7 @@
 ANSWER_MARGIN_MS = 15.0
 # The last part of a worker's drain grace goes unused: the process may stall between the check and the write.
 DRAIN_GRACE_MARGIN_MS = MAX_STALL_MS + 50.0
-DEFAULT_RETRY_WAIT_MS = 500.0  # told to a rejected client where the decision module names no wait
+DEFAULT_RETRY_WAIT_MS = 500.0  # advised to a rejected client where the decision module names no wait
 # Answers are retained for resubmissions of the same job, up to each of these limits.
 RETENTION_MS = 60_000.0
 MAX_RETAINED_ANSWERS = 8192
@@ -436,7 +436,7 @@
     ) -> None:  # fmt: skip
         """Note how an attempt ended; the first result of a request goes to its waiting clients.
 
-        `stale`: it failed on an idle connection that had gone bad, which does not count against the worker.
+        `stale`: it failed on a stale idle connection, which does not count against the worker.
         `report`: the load that the worker reported with its answer.
         """
         if attempt.ended:
@@ -492,7 +492,7 @@
         self.counters.add("out.probe.answered" if ok else "out.probe.failed")
         self._events.append(api.ProbeEnded(endpoint.name, ok, elapsed, report))
 
-    # -- the peer process, older or newer, during an upgrade
+    # -- the peer process during an upgrade
 
     def add_event(self, event: api.Beside | api.Adopted | api.Request | api.RequestGone) -> None:
         """Queue an event for the decision module.
--- a/eiderpin/core/invariants.py
+++ b/eiderpin/core/invariants.py
@@ -7,12 +7,12 @@
 broken: Counter[str] = Counter()  # violations, by the name of the invariant
 
 
-def must(condition: bool, what: str) -> bool:
-    """Check the invariant named `what`, count a violation, and return whether it holds.
+def must(condition: bool, invariant: str) -> bool:
+    """Check the invariant named `invariant`, count a violation, and return whether it holds.
 
     Raises `AssertionError` if it does not, except under `python -O`.
     """
     if not condition:
-        broken[what] += 1
-        assert condition, what
+        broken[invariant] += 1
+        assert condition, invariant
     return condition
--- a/eiderpin/core/requests.py
+++ b/eiderpin/core/requests.py
@@ -134,7 +134,7 @@
     listed: WorkerEntry
     address: Any  # only the link interprets it
     link: WorkerLink
-    withdrawn_at: float | None = None  # since when it is known to drain or to be gone
+    withdrawn_at: float | None = None  # since when it is known to be draining or no longer listed
     source_entry: WorkerEntry | None = None  # as its source lists it, before the operators' overrides
 
     @property
--- a/eiderpin/core/shutdown.py
+++ b/eiderpin/core/shutdown.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# SIGKILL may follow SIGTERM after the longest deadline of the deployment and this delay ...
+# SIGKILL may follow SIGTERM after the longest deadline of the deployment and this delay.
 KILL_DELAY_MS = 700.0
-MAX_COUNTED_DEADLINE_MS = 3000.0  # ... where no more than this counts of the deadline
+MAX_COUNTED_DEADLINE_MS = 3000.0  # no more than this counts of the longest deadline
 
 MAX_STALL_MS = 150.0  # for which the process may stall between reading its clock and acting on it
 # Answers are complete this long before SIGKILL: SIGTERM may be noticed late, answers may be written late, and
--- a/eiderpin/core/wall_clock.py
+++ b/eiderpin/core/wall_clock.py
@@ -73,7 +73,7 @@
         ]
         return max(fitting, default=now)
 
-    def _was_in_force(self, index: int, at: float) -> bool:
+    def _was_in_force(self, index: int, moment: float) -> bool:
         """Return whether an offset may have applied at a steady time.
 
         A step may have happened at any time between two samples.
@@ -81,4 +81,4 @@
         begins = self.offsets[index - 1].last_seen if index else float("-inf")
         is_last = index == len(self.offsets) - 1
         ends = self._clock.now() + MAX_FUTURE_MS if is_last else self.offsets[index + 1].first_seen
-        return begins <= at <= ends
+        return begins <= moment <= ends
--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -594,10 +594,10 @@
                 self.enqueue_job(queued[-1])
 
     def drop_if_gone(self, worker: Worker) -> None:
-        """Delete a worker that is gone, has no open attempt, and had named its classes.
+        """Delete a worker that is no longer listed, has no open attempt, and had named its classes.
 
-        Such a worker is one connection of a front. Its name does not come back, and these names would pile
-        up.
+        Such a worker is one connection of a front. Its name is not used again, and these names would
+        accumulate.
         """
         gone = worker.state is api.WorkerState.GONE and worker.classes is not None
         if gone and not worker.open_attempts and self.workers.get(worker.name) is worker:
@@ -928,8 +928,8 @@
                 self.update_ready(worker)
                 if worker.on_probation and not worker.ready:
                     heapq.heappush(self.ejections, (self.now + PROBATION_MS, worker.name))
-        memory = FAILURE_DECAY_RUNS * self.mean_run_ms
-        while self.trust_expiry and self.trust_expiry[0][0] < self.now - memory:
+        decay_ms = FAILURE_DECAY_RUNS * self.mean_run_ms
+        while self.trust_expiry and self.trust_expiry[0][0] < self.now - decay_ms:
             trusted = self.workers.get(self.trust_expiry.popleft()[1])
             if trusted is not None:
                 self.update_trusted(trusted)
@@ -1161,10 +1161,10 @@
 
         Trusted is a ready worker with a recent success of ours and a low failure rate.
         """
-        memory = FAILURE_DECAY_RUNS * self.mean_run_ms
+        decay_ms = FAILURE_DECAY_RUNS * self.mean_run_ms
         trusted = (
             worker.ready
-            and self.now - worker.last_success_at <= memory
+            and self.now - worker.last_success_at <= decay_ms
             and self.current_failure_rate(worker) < TRUSTED_RATE
         )
         if trusted is not (worker.name in self.trusted_pool.positions):
@@ -1572,8 +1572,8 @@
         """Record that a worker reported on an attempt; `ran`: the attempt runs or has run there.
 
         An attempt that was sent well before, should have started first and has not within the start timeout
-        is lost: a connection fell silent, and its slot is free. Where not all jobs start in the order sent,
-        only those of the same class that need no more slots should have started first.
+        is lost: a connection stopped responding, and its slot is free. Where not all jobs start in the order
+        sent, only those of the same class that need no more slots should have started first.
         """
         worker = attempt.worker
         worker.last_message_at = self.now
@@ -1631,7 +1631,7 @@
         """Move the estimated median of the start delays by one step towards a new delay (ms).
 
         Infinity stands for a start that was not reported in time. The median is used because a fifth of the
-        workers falling silent hardly moves it.
+        workers no longer responding hardly moves it.
         """
         step = 1.0 + AVERAGE_GAIN
         self.median_start_ms = max(
--- a/eiderpin/durable/reading.py
+++ b/eiderpin/durable/reading.py
@@ -168,7 +168,7 @@
     try:
         stated_number, _ = frames.read_header(data)
     except FormatError as error:
-        # A newer format is told from a torn header by the message.
+        # The message distinguishes a newer format from a torn header.
         if is_last and len(data) <= frames.HEADER_BYTES and "format" not in str(error):
             return False
         raise FormatError(f"{segment_name(number)}: {error}") from None
--- a/eiderpin/fleet/observer.py
+++ b/eiderpin/fleet/observer.py
@@ -38,7 +38,7 @@
 
 ACCEPT_TIMEOUT_MS = 2_400.0  # from the start of a connection to the member's first message
 SILENCE_TIMEOUT_MS = 2_500.0  # between messages of a member, which sends a ping each second
-MAX_STALE_MS = 3_000.0  # since a member last heard of a leader; beyond that another member is tried
+MAX_STALE_MS = 3_000.0  # age of a member's state; beyond that another member is tried
 RECONNECT_SPREAD_MS = 500.0  # the observers of a member that failed reconnect spread over this time
 START_SPREAD_MS = 300.0  # processes started together connect spread over this time
 RETURN_DELAY_MS = 40_000.0  # an observer not at its first choice tries that after half of this to all of it
@@ -288,7 +288,7 @@
                 self.member_choice.clear_avoidance(self.endpoint.member)
             self._check_age()
             return
-        self._avoid_member()  # it hears of no leader, but another member may
+        self._avoid_member()  # it has no contact with a leader, but another member may
         self._check_age()
         if self.member_choice.best(now) is not None:
             self._change_member()
--- a/eiderpin/fleet/outcomes.py
+++ b/eiderpin/fleet/outcomes.py
@@ -3,8 +3,8 @@
 
 A job's name is claimed in the store before the job's first byte goes to a worker, and its outcome is written
 there when it ends. A submission under a name that another dispatcher has under way is rejected; if that
-dispatcher has gone, the job is answered as failed, for it may have run. This costs two commits per job. While
-the store has no leader, such jobs are rejected.
+dispatcher is no longer live, the job is answered as failed, for it may have run. This costs two commits per
+job. While the store has no leader, such jobs are rejected.
 """
 
 from __future__ import annotations
--- a/eiderpin/fleet/ownership.py
+++ b/eiderpin/fleet/ownership.py
@@ -90,7 +90,7 @@
         return self.workers.defer_callback(callback, reply)
 
     def on_ledger_released(self) -> None:
-        """Open the ledger in the next turn: its owner has released it, or has gone."""
+        """Open the ledger in the next turn: its owner has released it, or has ended."""
         self.released = False
         if self.job_manager is None:
             self.defer_callbacks()
--- a/eiderpin/fleet/shared_state.py
+++ b/eiderpin/fleet/shared_state.py
@@ -196,7 +196,7 @@
     # -- presence
 
     def update_member(self, name: str, value: bytes | None) -> None:
-        """Note that a member's dispatcher has come or gone (`value` is None)."""
+        """Note that a member's dispatcher is live, or no longer live (`value` is None)."""
         self.live_dispatchers.set_member(name, value is not None)
         self.update_placement()
 
@@ -263,7 +263,7 @@
             self.log_info(f"store: {self.name}/{self.incarnation} is whole: {steps}")
 
     def build_description(self) -> dict[str, Any]:
-        """What other dispatchers and operators are told about this one."""
+        """The description of this dispatcher for other dispatchers and operators."""
         description = {
             **self.describe(),
             "config": str(self.documents.applied_config),
--- a/eiderpin/interface.py
+++ b/eiderpin/interface.py
@@ -78,8 +78,8 @@
     """The settings of one class of requests."""
 
     name: str
-    aim: float = 1000.0  # full worth if answered within this time ...
-    aim_stretch: float = 0.0  # ... plus this many times the request's own work
+    aim: float = 1000.0  # base of the time within which an answer has its full worth
+    aim_stretch: float = 0.0  # multiple of the request's own work by which that time is extended
     deadline: float = 10000.0
     worth: float = 1.0
     late_worth: float = 0.0  # share of the worth that remains after the aim
@@ -266,7 +266,7 @@
     elapsed: float
     final: bool  # the request has ended too
     report: Report | None = None
-    stale: bool = False  # failed on an idle connection that had gone bad: does not count against the worker
+    stale: bool = False  # failed on a stale idle connection, which does not count against the worker
 
 
 @dataclass(slots=True)
--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -307,7 +307,7 @@
         self._lease_timers[attempt] = deadlines.set(at, lambda: self.expire_lease(attempt))
 
     def expire_lease(self, attempt: Attempt) -> None:
-        """End an attempt with the outcome RESET, because its worker has been silent for `silence_ms`.
+        """End an attempt with the outcome RESET, because its worker has reported nothing for `silence_ms`.
 
         Whether the job is retried depends on its class.
         """
--- a/eiderpin/log_stream.py
+++ b/eiderpin/log_stream.py
@@ -95,7 +95,7 @@
             try:
                 written = self._write(self._unwritten)
             except OSError as error:
-                if error.errno not in RETRYABLE_ERRORS:  # the reader has gone, or the device fails
+                if error.errno not in RETRYABLE_ERRORS:  # the reader has closed its end, or the device fails
                     self._drop_all()
                 return
             self._unwritten = self._unwritten[written:]
--- a/eiderpin/net/discovery.py
+++ b/eiderpin/net/discovery.py
@@ -28,9 +28,9 @@
 WATCH_WAIT_MS = 2000  # discovery answers a watch after this time if nothing has changed
 SILENCE_TIMEOUT_MS = 700.0  # a call without an answer so long after that is repeated on a new connection
 RETRY_MS = 50.0  # before the next call after a failure; a watch must be renewed within 200 ms
-# An answer with an older generation than we have is rejected, and the call is repeated after this time ...
+# An answer with an older generation than we have is rejected, and the call is repeated after this time.
 OUTDATED_RETRY_MS = 250.0
-# ... until discovery has given only such answers for this long: then it was restarted and counts anew.
+# Once discovery has given only such answers for this long, it was restarted and counts generations anew.
 OUTDATED_REJECT_MS = 4000.0
 MAX_LIST_BYTES = 1 << 20  # of one answer; lists may be indented, and grow with the fleet
 
--- a/eiderpin/net/edge.py
+++ b/eiderpin/net/edge.py
@@ -307,7 +307,9 @@
         self.loop, self.core, self.counters = loop, core, core.counters
         self.on_callback, self.health = on_callback, health
         self.max_connections = max_connections  # that may wait for a job's answer
-        self.extra_connections = extra_connections  # beyond those, for callbacks and silent clients
+        self.extra_connections = (
+            extra_connections  # beyond those, for callbacks and clients that have sent no job
+        )
         self.max_held_bytes, self.held_bytes = max_held_bytes, 0  # of requests, on all connections together
         self.jobs = 0  # connections that wait for a request's answer
         self.eviction_queues: EvictionQueues[ClientConnection] = EvictionQueues()
--- a/eiderpin/net/gearman_front.py
+++ b/eiderpin/net/gearman_front.py
@@ -142,7 +142,7 @@
                     return
 
     def handle_eof(self) -> None:
-        """The peer has gone: abandon the jobs that it waited for, and end the attempts that it had."""
+        """The peer has disconnected: abandon the jobs that it waited for, and end its attempts."""
         self.conn.on_end = _do_nothing
         for submission in list(self.open_submissions):
             if submission.request is not None:
--- a/eiderpin/net/handover.py
+++ b/eiderpin/net/handover.py
@@ -259,7 +259,7 @@
     Args:
         path: where the socket of the process that serves is found.
         apply_callback: applies a callback; returns whether its request is known here.
-        get_state: the state that the peer process is told.
+        get_state: returns the state that is sent to the peer process.
         on_change: called when something about the peer processes has changed.
         may_transfer: whether jobs may be transferred to the successor now.
     """
--- a/eiderpin/net/loop.py
+++ b/eiderpin/net/loop.py
@@ -262,7 +262,7 @@
     def close(self) -> None:
         """Close immediately, dropping pending output.
 
-        For peers that have gone, have sent nothing that needs an answer, or do not read.
+        For peers that have disconnected, have sent nothing that needs an answer, or do not read.
         """
         if not self.closed:
             self.detach().close()
--- a/eiderpin/net/management.py
+++ b/eiderpin/net/management.py
@@ -73,7 +73,7 @@
         self.timeout = deadlines.set(now + ms, self.handle_timeout) if ms is not None else None
 
     def handle_eof(self) -> None:
-        """Do nothing: a caller that has gone before the end of its line gets no reply."""
+        """Do nothing: a caller that disconnects before the end of its line gets no reply."""
 
     def handle_timeout(self) -> None:
         """Close the connection of a caller that is too slow."""
--- a/eiderpin/net/room.py
+++ b/eiderpin/net/room.py
@@ -19,7 +19,7 @@
     KEPT_ALIVE = 4  # it has carried jobs or callbacks, and may carry more
 
 
-# How long a connection must have been silent before it may be closed. The first request of a new connection
+# How long a connection must have been inactive before it may be closed. The first request of a new connection
 # may still be on its way, and so may the next part of a slow client's request.
 MIN_SILENCE_MS = {
     EvictionTier.REJECTED: 150.0,
--- a/eiderpin/net/static_list.py
+++ b/eiderpin/net/static_list.py
@@ -68,7 +68,7 @@
         self.core, self.workers = core, workers
 
     def update_workers(self, rows: ListedWorkers) -> None:
-        """Replace the workers. One that is no longer listed is gone and gets nothing new."""
+        """Replace the workers. One that is no longer listed gets no new attempts."""
         self.core.apply_worker_list(self, api.ListKind.COMPLETE, rows)
 
     def send(self, attempt: Attempt) -> None:
--- a/eiderpin/net/workers.py
+++ b/eiderpin/net/workers.py
@@ -19,9 +19,9 @@
 from eiderpin.net.loop import ConnectError, Connection, Loop
 
 KEEP_IDLE_SHARE = 0.5  # of the setting conn_idle: we close idle connections well before the worker does
-# A connection that was idle for no longer is taken to be alive, whatever is between us and the worker.
+# A connection that was idle for no longer is taken to be usable, whatever is between us and the worker.
 SAFE_IDLE_MS = 50.0
-# A reset this soon after the request was written is put down to a connection that had gone stale.
+# A reset this soon after the request was written is attributed to a stale connection.
 STALE_RESET_MS = 100.0
 # A stale connection shortens the time for which idle ones are reused; the limit doubles again in this time.
 IDLE_LIMIT_DOUBLING_MS = 10_000.0
@@ -291,13 +291,13 @@
         self._call(attempt.endpoint, http.request("DELETE", target, (f"Host: {self.host}",)), None)
 
     def probe(self, endpoint: Endpoint) -> None:
-        """Ask a worker for its load or health; the core is told the result."""
+        """Ask a worker for its load or health; the result is reported to the core."""
         payload = http.request("GET", self.probe_target, (f"Host: {self.host}",))
         if not self._call(endpoint, payload, self.core.clock.now()):
             self.core.probed(endpoint, False, 0.0)
 
     def endpoint_changed(self, endpoint: Endpoint) -> None:
-        """Close idle connections to a worker that is gone or has another address now."""
+        """Close idle connections to a worker that is no longer listed or has another address now."""
         gone = endpoint.listed.state is api.WorkerState.GONE
         for connection in list(self.idle.get(endpoint.name, ())):
             if gone or connection.address != endpoint.address:
--- a/eiderpin/parts/observer.py
+++ b/eiderpin/parts/observer.py
@@ -50,7 +50,7 @@
         raise ValueError(
             "store.follow: an object of members and the addresses at which they serve observers is needed"
         )
-    endpoints = tuple(_read_endpoint(member, at) for member, at in follow.items())
+    endpoints = tuple(_read_endpoint(member, value) for member, value in follow.items())
     return FollowOptions(name, cluster, region, endpoints)
 
 
--- a/eiderpin/service.py
+++ b/eiderpin/service.py
@@ -402,13 +402,13 @@
         max_requests = min(self.http_front.max_connections, self.config.settings.most_held)
         free = 100 - 100 * len(self.core.requests) // max_requests
         rejoin = self.rejoin
-        if rejoin is not None:  # a recovering dispatcher advertises less until its state is complete
+        if rejoin is not None:  # a rejoining dispatcher advertises less until its state is complete
             free = free * rejoin.traffic_percent(self.clock.now()) // 100
         return f"up {max(1, free)}%"
 
     @property
     def rejoin(self) -> RejoinProgress | None:
-        """The stages of the recovery after a start; None where the dispatcher has no part in the store."""
+        """The progress of the rejoin after a start; None where the dispatcher has no part in the store."""
         if self.control_plane is not None:
             return self.control_plane.rejoin
         return self.shared_state.rejoin if self.shared_state is not None else None
--- a/eiderpin/store/door.py
+++ b/eiderpin/store/door.py
@@ -136,7 +136,7 @@
 
     def range(self, caller: ManagementConnection, fields: dict[str, Any]) -> None:
         """Reply with documents by prefix, as many as fit one line; `more` tells whether others follow."""
-        prefix, after, most = (
+        prefix, after, max_documents = (
             text_field(fields, "prefix", ""),
             text_field(fields, "after", ""),
             number_field(fields, "most", 100),
@@ -144,9 +144,9 @@
 
         def reply() -> None:
             store = self.host.member.store
-            found, size = store.range(prefix, after, min(most, 1000)), 0
+            documents, size = store.range(prefix, after, min(max_documents, 1000)), 0
             rows: list[dict[str, Any]] = []
-            for document in found:
+            for document in documents:
                 size += len(document.value)
                 if rows and size > MAX_LINE_PAYLOAD_BYTES:
                     break
@@ -325,18 +325,18 @@
 
 def text_field(fields: dict[str, Any], field: str, default: str | None = None) -> str:
     """Return a field that must be text. Raises `InvalidCallError`."""
-    found = fields.get(field, default)
-    if not isinstance(found, str):
-        raise InvalidCallError(f"{field}: {found!r}; text is expected")
-    return found
+    value = fields.get(field, default)
+    if not isinstance(value, str):
+        raise InvalidCallError(f"{field}: {value!r}; text is expected")
+    return value
 
 
 def number_field(fields: dict[str, Any], field: str, default: int | None = None) -> int:
     """Return a field that must be a whole number, 0 or more. Raises `InvalidCallError`."""
-    found = fields.get(field, default)
-    if isinstance(found, bool) or not isinstance(found, int) or found < 0:
-        raise InvalidCallError(f"{field}: {found!r}; a whole number is expected")
-    return found
+    value = fields.get(field, default)
+    if isinstance(value, bool) or not isinstance(value, int) or value < 0:
+        raise InvalidCallError(f"{field}: {value!r}; a whole number is expected")
+    return value
 
 
 def object_list_field(fields: dict[str, Any], field: str) -> list[dict[str, Any]]:
--- a/eiderpin/store/fleet_view.py
+++ b/eiderpin/store/fleet_view.py
@@ -38,15 +38,15 @@
 
 def list_documents(store: StoreClient, prefix: str) -> list[Document]:
     """Return all documents whose names start with `prefix`. Raises `StoreRequestError`."""
-    found: list[Document] = []
+    documents: list[Document] = []
     while True:
-        after = found[-1].name if found else ""
+        after = documents[-1].name if documents else ""
         reply = store.ask("range", prefix=prefix, after=after, most=1000)
         for row in reply["documents"]:
             value = base64.b64decode(row["value"])
-            found.append(Document(row["name"], value, row["revision"], row["created"], row["lease"]))
+            documents.append(Document(row["name"], value, row["revision"], row["created"], row["lease"]))
         if not reply["more"]:
-            return found
+            return documents
 
 
 def live_observers(documents: list[Document], prefix: str) -> dict[str, LiveObserver]:
--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -30,7 +30,7 @@
 # Raised where the directory of a member cannot be used.
 UNREADABLE = (DirectoryLockedError, FormatError, LogDamagedError, OSError)
 DISK_RETRY_MS = 500.0  # between two attempts to write to a disk that has failed
-CUT_OFF_MS = 3000.0  # without a leader, after which a member counts as cut off
+CUT_OFF_MS = 3000.0  # a member without a leader for this long counts as cut off
 
 
 class LogDisk:
@@ -70,8 +70,7 @@
             counters: Counts failures.
             options: The settings of the store.
             rng: Draws timeouts and ids.
-            say: Logs an event.
-            warn: Logs a warning.
+            log_info, log_warning: Write log lines for operators.
 
         Raises:
             UNREADABLE: The directory cannot be used; one of the errors of that tuple.
--- a/eiderpin/store/log.py
+++ b/eiderpin/store/log.py
@@ -61,14 +61,14 @@
         """
         if first <= self.base:
             raise Compacted(f"entry {first}; the log begins with {self.base + 1}")
-        found: list[Entry] = []
+        selected: list[Entry] = []
         size = 0
         for entry in self.entries[first - self.base - 1 : last - self.base]:
             size += len(entry.data) + 32
-            if found and size > most_bytes:
+            if selected and size > most_bytes:
                 break
-            found.append(entry)
-        return found
+            selected.append(entry)
+        return selected
 
     def append(self, entries: Sequence[Entry]) -> None:
         """Append entries, which must continue the log without a gap."""
@@ -96,7 +96,7 @@
         Returns:
             The first index that is new, or None if nothing is.
         """
-        for at, entry in enumerate(entries):
+        for position, entry in enumerate(entries):
             if entry.index <= self.base:
                 continue
             existing_term = self.term(entry.index)
@@ -104,7 +104,7 @@
                 continue
             if existing_term is not None:
                 self.cut(entry.index - 1)
-            self.append(entries[at:])
+            self.append(entries[position:])
             return entry.index
         return None
 
@@ -124,7 +124,7 @@
 
     def config_as_of(self, index: int) -> Config:
         """Return the configuration in effect after the entry of this index."""
-        return next(config for at, config in reversed(self.configs) if at <= index)
+        return next(config for first_index, config in reversed(self.configs) if first_index <= index)
 
     def compact(self, snapshot: Snapshot, keep: int) -> None:
         """Replace the snapshot, and drop all entries it covers except the last `keep`."""
--- a/eiderpin/store/messages.py
+++ b/eiderpin/store/messages.py
@@ -82,7 +82,7 @@
 
     `pre` marks a pre-vote, which asks whether the vote would be granted before the term is raised
     (dissertation, 9.6). `force` means that the leader itself initiated the election, so the vote is granted
-    although the leader is alive (4.2.3).
+    although the leader is live (4.2.3).
     """
 
     last_index: int
--- a/eiderpin/store/observer_protocol.py
+++ b/eiderpin/store/observer_protocol.py
@@ -27,7 +27,7 @@
     """Why a member does not serve an observer, or stops serving it."""
 
     MALFORMED = "malformed"  # not this protocol, or a message that is not allowed at this point
-    VERSION = "version"  # the observer speaks a newer protocol
+    VERSION = "version"  # the observer uses a newer protocol
     CLUSTER = "cluster"  # the observer follows another cluster
     GENERATION_AHEAD = "generation_ahead"  # the observer has seen a later generation of the cluster
     REVISION_AHEAD = "revision_ahead"  # the observer has seen a later revision than the member
@@ -58,7 +58,7 @@
     """The first message from an observer.
 
     Attributes:
-        version: The protocol version that the observer speaks.
+        version: The protocol version that the observer uses.
         cluster: The cluster that it follows.
         name: The observer's name.
         token: Drawn anew by each process, so that two with the same name can be told apart.
--- a/eiderpin/store/observer_registry.py
+++ b/eiderpin/store/observer_registry.py
@@ -18,7 +18,7 @@
 from eiderpin.store.presence import LiveDispatchers, MergedPresence, ObserverEntry, ServedObservers
 from eiderpin.store.state import Event, Put
 
-FENCE_AFTER_MS = 4_000.0  # longer than a member takes to detect and announce a dead connection
+FENCE_AFTER_MS = 4_000.0  # longer than a member takes to detect and announce a broken connection
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         return effects
 
     def _find_epoch(self, subscribe: Subscribe) -> int:
-        """Return the epoch of a process that was announced without being told; 0: it was not announced."""
+        """Return the epoch of a process that was announced and not yet notified; 0: it was not announced."""
         live = self.merged.observers.get(subscribe.name)
         return live.epoch if live is not None and live.entry.token == subscribe.token else 0
 
--- a/eiderpin/store/observer_server.py
+++ b/eiderpin/store/observer_server.py
@@ -36,7 +36,7 @@
 SUBSCRIBE_TIMEOUT_MS = 2_000.0  # from connection to `Subscribe`
 MAX_UNSUBSCRIBED_CONNECTIONS = 64  # beyond that, the oldest is closed
 MAX_UNSENT_BYTES = 768 << 10  # per connection, not counting the kernel's send buffer
-# The announcement outlives a dead member for this long, so that its observers can change to another member.
+# The announcement outlives a failed member for this long, so that its observers can change to another member.
 LEASE_MS = 10_000.0
 RENEW_INTERVAL_MS = 2_500.0
 PAGE_INTERVAL_MS = 1.0  # between two pages of a snapshot
--- a/eiderpin/store/presence.py
+++ b/eiderpin/store/presence.py
@@ -5,8 +5,8 @@
 member is in both documents for a while; its token and session tell which entry counts.
 
 Two processes with the same name have different tokens. The one that was announced by the later commit owns
-the name. The other is fenced once it is certain that the later one is alive, because a member may announce
-a process that has just died.
+the name. The other is fenced once it is certain that the later one is live, because a member may announce
+a process that has just ended.
 """
 
 from __future__ import annotations
@@ -138,7 +138,7 @@
     def mark_disconnected(self, name: str, token: str, now: float) -> None:
         """Record that an observer has lost its connection without leaving.
 
-        An observer that was never announced is removed. Otherwise a process that died at its start would be
+        An observer that was never announced is removed. Otherwise a process that ended at its start would be
         announced after its successor and seem to be the later one."""
         served = self._find(name, token)
         if served is None or not served.entry.connected:
--- a/eiderpin/store/progress.py
+++ b/eiderpin/store/progress.py
@@ -70,9 +70,9 @@
             return  # an outdated response
         self.start_probing(min(prev, hint + 1))
 
-    def start_probing(self, at: int) -> None:
-        """Send one message at a time from entry `at` on, until a match is found."""
-        self.mode, self.next, self.paused = Mode.PROBE, max(at, self.match + 1), False
+    def start_probing(self, index: int) -> None:
+        """Send one message at a time from entry `index` on, until a match is found."""
+        self.mode, self.next, self.paused = Mode.PROBE, max(index, self.match + 1), False
         self.in_flight.clear()
 
     def start_snapshot(self, index: int) -> None:
--- a/eiderpin/store/raft.py
+++ b/eiderpin/store/raft.py
@@ -133,9 +133,9 @@
         self.peers: dict[str, Progress] = {}
         self.peer_disks: dict[str, str] = {}  # the disk that the progress in `peers` refers to
         self.ticks = 0
-        # As leader: the tick of the last message from each member on its configured disk ...
+        # As leader: the tick of the last message from each member on its configured disk.
         self.last_heard: dict[str, int] = {}
-        # ... and the members that answered from a disk that the configuration does not name.
+        # As leader: by member, the disk that it answered from and that the configuration does not name.
         self.unknown_disks: dict[str, str] = {}
         self.transfer_target = ""  # the voter that leadership is being transferred to
         self.transfer_ticks = 0
@@ -146,7 +146,7 @@
         self.incoming_snapshot: tuple[SnapshotChunk, bytearray] | None = None
         self.elapsed = self.heartbeat_elapsed = 0
         self.heartbeat_due = False
-        self.notified_removed = False  # a member has told us that we were removed
+        self.notified_removed = False  # a member has notified us that we were removed
         self._output = RaftOutput()
         self._reported_hard_state = hard
         self._reset_election_timer()
@@ -279,22 +279,24 @@
         else:
             raise NotLeader("")
 
-    def transfer_leadership(self, to: str) -> None:
+    def transfer_leadership(self, target: str) -> None:
         """Transfer leadership to another voter (3.10).
 
         Raises:
             NotLeader: This member does not lead.
-            Refused: `to` is not another voter.
+            Refused: `target` is not another voter.
         """
         if self.role is not Role.LEADER:
             raise NotLeader(self.leader)
-        if to not in self.log.config.voters or to == self.name:
-            raise Refused(f"{to!r} is no other voter; there are {', '.join(sorted(self.log.config.voters))}")
-        self.transfer_target, self.transfer_ticks = to, 0
-        if self.peers[to].match == self.log.last:
-            self._send(TimeoutNow(self.name, to, self.term))
+        if target not in self.log.config.voters or target == self.name:
+            raise Refused(
+                f"{target!r} is no other voter; there are {', '.join(sorted(self.log.config.voters))}"
+            )
+        self.transfer_target, self.transfer_ticks = target, 0
+        if self.peers[target].match == self.log.last:
+            self._send(TimeoutNow(self.name, target, self.term))
         else:
-            self._replicate_to(to)
+            self._replicate_to(target)
 
     def stop_leading(self) -> None:
         """Step down and do not campaign, because the disk does not accept writes.
--- a/eiderpin/store/state.py
+++ b/eiderpin/store/state.py
@@ -397,10 +397,10 @@
         """The document of this name, or None."""
         return self.documents.get(name)
 
-    def range(self, prefix: str, after: str = "", most: int = 1000) -> list[Document]:
-        """Up to `most` documents whose names start with `prefix` and come after `after`, ordered by name."""
+    def range(self, prefix: str, after: str = "", max_documents: int = 1000) -> list[Document]:
+        """Up to `max_documents`, ordered by name, whose names start with `prefix` and come after `after`."""
         names = sorted(n for n in self.documents if n.startswith(prefix) and n > after)
-        return [self.documents[n] for n in names[:most]]
+        return [self.documents[n] for n in names[:max_documents]]
 
     def events_since(self, revision: int, prefix: str = "") -> list[Event]:
         """Events from `revision` on, oldest first, of names that start with `prefix`.
@@ -410,14 +410,14 @@
         """
         if revision < self.oldest:
             raise Compacted(self.oldest)
-        found = []
+        events = []
         for event in reversed(self.events):
             if event.revision < revision:
                 break
             if event.name.startswith(prefix):
-                found.append(event)
-        found.reverse()
-        return found
+                events.append(event)
+        events.reverse()
+        return events
 
     # -- serialization
 
--- a/eiderpin/store/transport.py
+++ b/eiderpin/store/transport.py
@@ -153,7 +153,7 @@
             listen: The host and port to listen on.
             on_message: Called with each message that is received.
             rng: Draws the jitter of retries.
-            warn: Logs a warning.
+            log_warning: Writes log lines for operators.
             disk: The id of this member's disk.
             generation: The generation of its cluster.
         """
@@ -184,7 +184,7 @@
         self.configured_addresses = addresses
         for conn, hello in list(self.incoming.items()):
             if hello is not None and self.is_retired(hello.frm, hello.disk):
-                conn.close()  # it reconnects, and is then told that it was replaced
+                conn.close()  # it reconnects, and is then notified that it was replaced
         addresses = {**self.learned_addresses, **addresses}
         for name in list(self.peers):
             if addresses.get(name) != self.peers[name].peer_address:
