--- a/eiderpin/configuration.py
+++ b/eiderpin/configuration.py
@@ -93,7 +93,7 @@
                 from eiderpin.parts import durable as durable_options  # imported only where it is on
 
                 config.durable = durable_options.read_options(
-                    document[name], [c.name for c in config.settings.classes]
+                    document[name], [request_class.name for request_class in config.settings.classes]
                 )
                 continue
             if name == "store" and isinstance(document[name], dict) and "follow" in document[name]:
@@ -105,7 +105,9 @@
                 from eiderpin.parts import store as store_options
 
                 run_once_classes = [
-                    c.name for c in config.settings.classes if c.repeat is not api.Repeat.FREE
+                    request_class.name
+                    for request_class in config.settings.classes
+                    if request_class.repeat is not api.Repeat.FREE
                 ]
                 config.store = store_options.read_options(document[name], config.name, run_once_classes)
                 continue
--- a/eiderpin/core/slot_table.py
+++ b/eiderpin/core/slot_table.py
@@ -15,7 +15,7 @@
 
 
 class SlotTable(Generic[T]):
-    """Items by id.
+    """A table of items by id.
 
     An id combines the slot with a generation and is below 2^32. After an item is removed, its id does not
     find the next item in that slot until the generation has wrapped around.
--- a/eiderpin/durable/frames.py
+++ b/eiderpin/durable/frames.py
@@ -1,8 +1,8 @@
 """The format of a segment: a header, then frames of one record each. Pure: bytes in, records out.
 
-Each frame states how much of its segment was known to be on disk when it was written. By this a reader tells
-a torn tail from damage: if a valid frame after a bad place states that the bad place was on disk, then data
-was lost that had been acknowledged.
+Each frame states how much of its segment was known to be on disk when it was written. By this a reader
+distinguishes a torn tail from damage: if a valid frame after a bad place states that the bad place was on
+disk, then data was lost that had been acknowledged.
 """
 
 from __future__ import annotations
@@ -95,17 +95,17 @@
     `limit`: the bytes that count, as the next segment states them; None for the last segment. A segment that
     has a next one was synced before that began, so a bad frame in it is damage.
     """
-    found = SegmentScan()
+    scan = SegmentScan()
     end = len(data) if limit is None else limit
-    while found.end < end:
-        frame = _read_frame(data, found.end, end)
+    while scan.end < end:
+        frame = _read_frame(data, scan.end, end)
         if frame is None:
-            is_torn = limit is None and not _was_synced(data, found.end)
-            found.tail = Tail.TORN if is_torn else Tail.DAMAGED
+            is_torn = limit is None and not _was_synced(data, scan.end)
+            scan.tail = Tail.TORN if is_torn else Tail.DAMAGED
             break
-        record, _, found.end = frame
-        found.records.append(record)
-    return found
+        record, _, scan.end = frame
+        scan.records.append(record)
+    return scan
 
 
 def _read_frame(data: bytes, offset: int, end: int) -> tuple[Record, int, int] | None:
--- a/eiderpin/net/discovery.py
+++ b/eiderpin/net/discovery.py
@@ -150,7 +150,7 @@
 
     @property
     def list_age_ms(self) -> float:
-        """ms since the list was last known to be up to date, or since the start if it never was."""
+        """Time in ms since the list was last known to be up to date, or since the start if it never was."""
         last = self.began_at if self.answered_at is None else self.answered_at
         return self.loop.clock.now() - last
 
--- a/eiderpin/net/edge.py
+++ b/eiderpin/net/edge.py
@@ -71,8 +71,8 @@
         self.keep_alive = True
         self.last_activity = front.loop.clock.now()
         self.held_bytes = 0  # of requests, received here and not answered yet
-        # It is not extended as parts of a request are received, so that a client cannot hold a connection by
-        # sending slowly.
+        # The timeout is not extended as parts of a request are received, so that a client cannot hold a
+        # connection by sending slowly.
         self.request_timeout: Deadline | None = None
         self.start_request_timeout()
         conn.on_data, conn.on_end, conn.on_closed = self.handle_data, self.handle_eof, self.handle_close
@@ -466,13 +466,13 @@
         none has a request partly received."""
         return not any(
             (
-                c.busy
-                or c.pipelined
-                or c.conn.unsent
-                or (include_partial and not c.reader.idle and not c.conn.closing)
+                connection.busy
+                or connection.pipelined
+                or connection.conn.unsent
+                or (include_partial and not connection.reader.idle and not connection.conn.closing)
             )
-            and not c.conn.closed
-            for c in self.connections.all()
+            and not connection.conn.closed
+            for connection in self.connections.all()
         )
 
     # Requests.
--- a/eiderpin/store/hints.py
+++ b/eiderpin/store/hints.py
@@ -18,9 +18,9 @@
 MAX_HINT_BYTES = 200 << 10  # a larger hint is not written
 
 
-def pack(learned: Learned, at: float) -> bytes | None:
-    """Serialize a hint learned at wall-clock time `at`, in ms. None if it is empty or too large."""
-    data = orjson.dumps({"at": at, "learned": learned}) if learned else b""
+def pack(learned: Learned, written_at: float) -> bytes | None:
+    """Serialize a hint learned at wall-clock time `written_at`, in ms. None if it is empty or too large."""
+    data = orjson.dumps({"at": written_at, "learned": learned}) if learned else b""
     return data if 0 < len(data) <= MAX_HINT_BYTES else None
 
 
@@ -32,7 +32,7 @@
     """
     try:
         decoded: Any = orjson.loads(value)
-        at, learned = float(decoded["at"]), parse(decoded["learned"])
+        written_at, learned = float(decoded["at"]), parse(decoded["learned"])
     except (orjson.JSONDecodeError, TypeError, KeyError, AttributeError, ValueError) as error:
         raise ValueError(f"not a hint: {error!r}") from None
-    return learned if now - MAX_AGE_MS <= at <= now + MAX_CLOCK_AHEAD_MS else None
+    return learned if now - MAX_AGE_MS <= written_at <= now + MAX_CLOCK_AHEAD_MS else None
--- a/eiderpin/store/member.py
+++ b/eiderpin/store/member.py
@@ -34,7 +34,7 @@
 from eiderpin.store.state import Answer, Command, Compacted, Event, Expire, Operation, Store, pack, unpack
 
 TICK_MS = 50.0
-SNAPSHOT_EVERY = 10_000  # entries applied since the last snapshot, after which the next one is made
+SNAPSHOT_EVERY_ENTRIES = 10_000  # applied since the last snapshot, after which the next one is made
 SNAPSHOT_EVERY_BYTES = 16 << 20  # the same in bytes of entries; whichever limit is reached first
 TRAILING_ENTRIES = 1_000  # kept from before a snapshot, for members that are slightly behind
 MAX_PENDING_CALLS = 10_000  # of commands, and of reads, that wait at this member
@@ -117,7 +117,7 @@
     def __init__(
         self, member_identity: MemberIdentity, restored: RestoredState, disk: Disk,
         send: Callable[[Message], None], rng: random.Random, now: float, raft: type[Raft] = Raft,
-        snapshot_every: int = SNAPSHOT_EVERY, trailing: int = TRAILING_ENTRIES, history: int = 10_000,
+        snapshot_every: int = SNAPSHOT_EVERY_ENTRIES, trailing: int = TRAILING_ENTRIES, history: int = 10_000,
     ) -> None:  # fmt: skip
         """Start with the state that was read from disk.
 
--- a/eiderpin/store/raft.py
+++ b/eiderpin/store/raft.py
@@ -681,9 +681,9 @@
         self.peer_disks = {n: config.disks.get(n, "") for n in sorted(config.all()) if n != self.name}
         self.peers = {
             # A replaced disk has nothing of what the previous one had, so its progress starts over.
-            n: self.peers[n] if n in self.peers and previous_disks.get(n, "") in ("", disk)
+            name: self.peers[name] if name in self.peers and previous_disks.get(name, "") in ("", disk)
             else Progress(next=self.log.last + 1, active=True)
-            for n, disk in self.peer_disks.items()
+            for name, disk in self.peer_disks.items()
         }  # fmt: skip
         self.unknown_disks = {n: d for n, d in self.unknown_disks.items() if self.peer_disks.get(n, d) != d}
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -278,7 +278,7 @@
 
     def test_a_replica_that_was_away_catches_up_by_a_snapshot(self) -> None:
         """Guards against a replica that cannot catch up once the log it lacks has been compacted."""
-        prelude = ("from eiderpin.store import member\nmember.SNAPSHOT_EVERY = 50\n"
+        prelude = ("from eiderpin.store import member\nmember.SNAPSHOT_EVERY_ENTRIES = 50\n"
                    "member.Member.__init__.__defaults__ = (member.Raft, 50, 5, 10_000)")  # fmt: skip
         with tempfile.TemporaryDirectory() as folder:
             members = Cluster(Path(folder))
