--- a/eiderpin/core/dispatcher.py
+++ b/eiderpin/core/dispatcher.py
@@ -39,7 +39,7 @@
 ANSWER_MARGIN_MS = 15.0
 # The last part of a worker's drain grace goes unused: the process may stall between the check and the write.
 DRAIN_GRACE_MARGIN_MS = MAX_STALL_MS + 50.0
-DEFAULT_RETRY_WAIT_MS = 500.0  # told to a rejected client where the decision module names no wait
+DEFAULT_RETRY_WAIT_MS = 500.0  # advised to a rejected client where the decision module names no wait
 # Answers are retained for resubmissions of the same job, up to each of these limits.
 RETENTION_MS = 60_000.0
 MAX_RETAINED_ANSWERS = 8192
@@ -226,7 +226,7 @@
         return True
 
     def _bound_attempt(self, attempt: Attempt) -> None:
-        """Bound an attempt's time-out by its request's deadline."""
+        """Bound an attempt's timeout by its request's deadline."""
         left = attempt.request.deadline - attempt.made_at
         if attempt.ended or attempt.timeout <= left:
             return
@@ -436,7 +436,7 @@
     ) -> None:  # fmt: skip
         """Note how an attempt ended; the first result of a request goes to its waiting clients.
 
-        `stale`: it failed on an idle connection that had gone bad, which does not count against the worker.
+        `stale`: it failed on a stale idle connection, which does not count against the worker.
         `report`: the load that the worker reported with its answer.
         """
         if attempt.ended:
@@ -492,7 +492,7 @@
         self.counters.add("out.probe.answered" if ok else "out.probe.failed")
         self._events.append(api.ProbeEnded(endpoint.name, ok, elapsed, report))
 
-    # -- the peer process, older or newer, during an upgrade
+    # -- the peer process during an upgrade
 
     def add_event(self, event: api.Beside | api.Adopted | api.Request | api.RequestGone) -> None:
         """Queue an event for the decision module.
@@ -502,10 +502,10 @@
         """
         self._events.append(event)
 
-    def apply_learned(self, found: Learned) -> None:
+    def apply_learned(self, estimates: Learned) -> None:
         """Pass on what another process has learned of workers, after all events queued so far."""
         self.decide()
-        learned.apply_to(self.module, found)
+        learned.apply_to(self.module, estimates)
 
     def hand_off(self, request: Request) -> None:
         """Drop a request that another process continues.
@@ -547,7 +547,7 @@
                 self._start_timeout(attempt)
 
     def _start_timeout(self, attempt: Attempt) -> None:
-        """Schedule the time-out of an attempt."""
+        """Schedule the timeout of an attempt."""
         at = attempt.made_at + attempt.timeout
         attempt.expiry = self.deadlines.set(at, lambda: self._time_out(attempt))
 
@@ -670,7 +670,10 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the figures for operators: how the jobs of each class ended, and the present state."""
-        counts, listed = self.counters.counts, [e for e in self.endpoints.values() if e.is_listed]
+        counts, listed = (
+            self.counters.counts,
+            [endpoint for endpoint in self.endpoints.values() if endpoint.is_listed],
+        )
         return {
             "results": {c: {v.value: counts[f"answer.{c}.{v.value}"] for v in Verdict} for c in self.classes},
             "forwards": counts["out.attempts"],
--- a/eiderpin/core/requests.py
+++ b/eiderpin/core/requests.py
@@ -134,7 +134,7 @@
     listed: WorkerEntry
     address: Any  # only the link interprets it
     link: WorkerLink
-    withdrawn_at: float | None = None  # since when it is known to drain or to be gone
+    withdrawn_at: float | None = None  # since when it is known to be draining or no longer listed
     source_entry: WorkerEntry | None = None  # as its source lists it, before the operators' overrides
 
     @property
@@ -173,5 +173,5 @@
     may_have_run: bool = False  # it was written in full, and nothing proves that it did not run
     ended: bool = False
     leased: bool = False  # of a durable job, with its lease on disk
-    expiry: Deadline | None = None  # its time-out
+    expiry: Deadline | None = None  # its timeout
     handle: Any = None  # used by the link only
--- a/eiderpin/decide.py
+++ b/eiderpin/decide.py
@@ -80,9 +80,9 @@
 FAULTY_RATE = 0.35  # reached by two failures; single-shot jobs are kept away from there on
 FAILURE_DECAY_RUNS = 20.0  # decay time of a worker's failure rate
 MEMORY_SPAN_SHARE = 0.9  # share of a memory span within which a guarded repeat is still sent
-# A process may be held up this long between reading its clock and writing. At least so much of a memory span
-# is left unused.
-MAX_SEND_DELAY_MS = 150.0
+# For which the process may stall between reading its clock and writing. At least so much of a memory span is
+# left unused.
+MAX_STALL_MS = 150.0
 MIN_EARNINGS_SHARE = 0.75  # jobs of a class that earns less than this share of the best one go first
 TENANT_BURST_MS = 2000.0  # a tenant may use so much time's worth of its share at once
 # Least share of its worth that a job loses by waiting, even where late answers earn as much: room that is
@@ -328,7 +328,7 @@
     if binding is None or job.spec.repeat is api.Repeat.FREE:
         return True
     guarded, span = job.spec.repeat is api.Repeat.GUARDED, job.spec.memory_span
-    return guarded and now <= binding.sent_at + min(MEMORY_SPAN_SHARE * span, span - MAX_SEND_DELAY_MS)
+    return guarded and now <= binding.sent_at + min(MEMORY_SPAN_SHARE * span, span - MAX_STALL_MS)
 
 
 def may_refuse(job: Job) -> bool:
@@ -594,10 +594,10 @@
                 self.enqueue_job(queued[-1])
 
     def drop_if_gone(self, worker: Worker) -> None:
-        """Delete a worker that is gone, has no open attempt, and had named its classes.
+        """Delete a worker that is no longer listed, has no open attempt, and had named its classes.
 
-        Such a worker is one connection of a front. Its name does not come back, and these names would pile
-        up.
+        Such a worker is one connection of a front. Its name is not used again, and these names would
+        accumulate.
         """
         gone = worker.state is api.WorkerState.GONE and worker.classes is not None
         if gone and not worker.open_attempts and self.workers.get(worker.name) is worker:
@@ -928,8 +928,8 @@
                 self.update_ready(worker)
                 if worker.on_probation and not worker.ready:
                     heapq.heappush(self.ejections, (self.now + PROBATION_MS, worker.name))
-        memory = FAILURE_DECAY_RUNS * self.mean_run_ms
-        while self.trust_expiry and self.trust_expiry[0][0] < self.now - memory:
+        decay_ms = FAILURE_DECAY_RUNS * self.mean_run_ms
+        while self.trust_expiry and self.trust_expiry[0][0] < self.now - decay_ms:
             trusted = self.workers.get(self.trust_expiry.popleft()[1])
             if trusted is not None:
                 self.update_trusted(trusted)
@@ -1161,10 +1161,10 @@
 
         Trusted is a ready worker with a recent success of ours and a low failure rate.
         """
-        memory = FAILURE_DECAY_RUNS * self.mean_run_ms
+        decay_ms = FAILURE_DECAY_RUNS * self.mean_run_ms
         trusted = (
             worker.ready
-            and self.now - worker.last_success_at <= memory
+            and self.now - worker.last_success_at <= decay_ms
             and self.current_failure_rate(worker) < TRUSTED_RATE
         )
         if trusted is not (worker.name in self.trusted_pool.positions):
@@ -1572,8 +1572,8 @@
         """Record that a worker reported on an attempt; `ran`: the attempt runs or has run there.
 
         An attempt that was sent well before, should have started first and has not within the start timeout
-        is lost: a connection fell silent, and its slot is free. Where not all jobs start in the order sent,
-        only those of the same class that need no more slots should have started first.
+        is lost: a connection stopped responding, and its slot is free. Where not all jobs start in the order
+        sent, only those of the same class that need no more slots should have started first.
         """
         worker = attempt.worker
         worker.last_message_at = self.now
@@ -1631,7 +1631,7 @@
         """Move the estimated median of the start delays by one step towards a new delay (ms).
 
         Infinity stands for a start that was not reported in time. The median is used because a fifth of the
-        workers falling silent hardly moves it.
+        workers no longer responding hardly moves it.
         """
         step = 1.0 + AVERAGE_GAIN
         self.median_start_ms = max(
--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -300,14 +300,14 @@
         self.write_record(record, on_written)
 
     def start_lease_timer(self, attempt: Attempt) -> None:
-        """Start or restart the lease's time-out: its worker must report within `silence_ms`."""
+        """Start or restart the lease's timeout: its worker must report within `silence_ms`."""
         deadlines = self.core.deadlines
         deadlines.drop(self._lease_timers.pop(attempt, None))
         at = self.core.clock.now() + self.options.silence_ms
         self._lease_timers[attempt] = deadlines.set(at, lambda: self.expire_lease(attempt))
 
     def expire_lease(self, attempt: Attempt) -> None:
-        """End an attempt with the outcome RESET, because its worker has been silent for `silence_ms`.
+        """End an attempt with the outcome RESET, because its worker has reported nothing for `silence_ms`.
 
         Whether the job is retried depends on its class.
         """
--- a/eiderpin/store/transport.py
+++ b/eiderpin/store/transport.py
@@ -94,7 +94,7 @@
         """Handle the answer to our `Hello`."""
         if welcome.refused:
             if welcome.refused != self.last_rejection:
-                self.transport.warn(
+                self.transport.log_warning(
                     f"member {self.name} at {self.peer_address} refuses us: {welcome.refused}"
                 )
             self.last_rejection = welcome.refused
@@ -140,7 +140,7 @@
 
     def __init__(
         self, loop: Loop, counters: Counters, cluster: str, name: str, listen: tuple[str, int],
-        on_message: Callable[[Message], None], rng: random.Random, warn: Callable[[str], None],
+        on_message: Callable[[Message], None], rng: random.Random, log_warning: Callable[[str], None],
         disk: str = "", generation: int = 1,
     ) -> None:  # fmt: skip
         """Start to listen, without connecting to any member yet.
@@ -153,7 +153,7 @@
             listen: The host and port to listen on.
             on_message: Called with each message that is received.
             rng: Draws the jitter of retries.
-            warn: Logs a warning.
+            log_warning: Writes log lines for operators.
             disk: The id of this member's disk.
             generation: The generation of its cluster.
         """
@@ -164,7 +164,7 @@
         self.is_retired: Callable[[str, str], bool] = lambda name, disk: False
         self.adopt_generation: Callable[[int], None] = lambda generation: None
         self.on_peer_hello: Callable[[str, str, bool], None] = lambda name, disk, has_log: None
-        self.on_message, self.rng, self.warn = on_message, rng, warn
+        self.on_message, self.rng, self.log_warning = on_message, rng, log_warning
         self.peers: dict[str, OutgoingConnection] = {}
         self.configured_addresses: dict[str, str] = {}  # of the members in the configuration
         self.learned_addresses: dict[str, str] = {}  # of members that have connected to us
@@ -184,7 +184,7 @@
         self.configured_addresses = addresses
         for conn, hello in list(self.incoming.items()):
             if hello is not None and self.is_retired(hello.frm, hello.disk):
-                conn.close()  # it reconnects, and is then told that it was replaced
+                conn.close()  # it reconnects, and is then notified that it was replaced
         addresses = {**self.learned_addresses, **addresses}
         for name in list(self.peers):
             if addresses.get(name) != self.peers[name].peer_address:
@@ -232,7 +232,7 @@
                         return
             except (ValueError, msgspec.MsgspecError) as error:
                 self.counters.add("store.bad")
-                self.warn(f"a peer's connection is closed: {error}")
+                self.log_warning(f"a peer's connection is closed: {error}")
                 conn.close()
 
         def on_closed() -> None:
