--- a/eiderpin/jobs/keeper.py
+++ b/eiderpin/jobs/keeper.py
@@ -143,7 +143,7 @@
         self.log.settle()
         if was_failed is None and self.log.failed is not None:
             self.core.counters.add("ledger.failed")
-            text = "the disk of durable jobs cannot be written, such jobs are rejected: %s"
+            text = "the disk of durable jobs takes nothing, they are turned down: %s"
             log.error(text, self.log.failed)
             self.retry_disk()
 
--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -208,7 +208,7 @@
             self.missing_reported = True
             if bootstrap.log_exists:
                 self.log_warning(
-                    "store: this directory is empty, and others have a log: waits for their leader"
+                    "store: nothing is here, and others have a log: waits for their leader"
                 )
             else:
                 missing = ", ".join(bootstrap.missing_members()) or min(bootstrap.members)
