--- a/eiderpin/store/host.py
+++ b/eiderpin/store/host.py
@@ -207,9 +207,7 @@
         elif not self.missing_reported and now > self.started_at + CUT_OFF_MS:
             self.missing_reported = True
             if bootstrap.log_exists:
-                self.log_warning(
-                    "store: nothing is here, and others have a log: waits for their leader"
-                )
+                self.log_warning("store: nothing is here, and others have a log: waits for their leader")
             else:
                 missing = ", ".join(bootstrap.missing_members()) or min(bootstrap.members)
                 self.log_warning(
